--- a/brackenwalk/__main__.py
+++ b/brackenwalk/__main__.py
@@ -120,7 +120,7 @@
     config = read_config(read_file(path))
     settings = config.settings
     room = config.sockets - RESERVE
-    dial, idle = settings.dial_timeout, settings.connection_idle
+    dial, idle = settings.dial_timeout, settings.idle_timeout
     servers = Pool(CacheConnection, room * 3 // 8, dial, idle)
     origin = Pool(OriginConnection, room // 8, dial, idle)
 
@@ -150,7 +150,7 @@
     logging.info("listening on %s:%d", *listener.socket.getsockname())
     await terminated.wait()
     logging.info("ending: no new connections in %g s", STILL_COMING)
-    longest = min(COUNTED, max(c.give_up for c in settings.classes.values()))
+    longest = min(COUNTED, max(c.client_timeout for c in settings.classes.values()))
     host.ending(longest + ANSWERED)
     await listener.stop(STILL_COMING, longest + CLOSED - STILL_COMING)
     discovery.close()
--- a/brackenwalk/calls.py
+++ b/brackenwalk/calls.py
@@ -21,7 +21,7 @@
 
     def __init__(self, settings: api.Settings, chance: random.Random, now: float) -> None:
         self.settings, self.random = settings, chance
-        self.turn = min(CALL, min(ROUND, ASK * settings.must_ask_in) / settings.siblings)  # for each's call
+        self.turn = min(CALL, min(ROUND, ASK * settings.max_list_age) / settings.siblings)  # for each's call
         self.turns = settings.siblings * self.turn  # until all have had theirs
         self.asked_at, self.listed_at = now - CROWDED[0], -math.inf
         self.failures = self.crowded = 0  # in a row
@@ -36,7 +36,7 @@
 
     def until_turn(self, now: float, least: float = 0.0) -> float:
         """All have their turns by one clock, so that calls stay apart whatever they were held up by."""
-        return least + (self.settings.number * self.turn - now - least) % self.turns
+        return least + (self.settings.sibling_index * self.turn - now - least) % self.turns
 
     def moved(self) -> float:
         """Guards a new discovery: all routers may be told of it at once, and the old watches last a while."""
@@ -49,11 +49,11 @@
         if not conf.subscribe:  # what is pushed, an agent of our own holds
             return min(conf.drain_grace / 2, CALL * doubled) * self.random.uniform(0.5, 1.0)
         if quiet <= waited or waited < CROWDED[0]:  # a watch broke, or a call came to nothing at no cost
-            rounds = min(doubled, ASK * min(ROUND, conf.must_ask_in) / self.turns)
+            rounds = min(doubled, ASK * min(ROUND, conf.max_list_age) / self.turns)
             pause = self.until_turn(now, self.turn / 2) + max(0, int(rounds) - 1) * self.turns
             left = NEWS - quiet + ASK * conf.drain_grace
             if quiet <= waited and 0 < left < pause:  # it had been silent, and what it missed counts soon
-                pause = left * (conf.number + self.random.random()) / conf.siblings
+                pause = left * (conf.sibling_index + self.random.random()) / conf.siblings
             return pause
         if waited < CROWDED[1]:  # guards against an endless queue: calls given up are still worked through
             self.crowded = min(FAILED_ASK, 3 * self.crowded or 1)
--- a/brackenwalk/interface.py
+++ b/brackenwalk/interface.py
@@ -15,7 +15,7 @@
     """Settings that cannot be used; the message names the field."""
 
 
-class Effect(Enum):
+class RetrySafety(Enum):
     """What repeating a request of a class may do."""
 
     SAFE = "safe"
@@ -23,21 +23,21 @@
     UNSAFE = "unsafe"
 
 
-class Group(Enum):
+class RepeatGroup(Enum):
     """The servers that know each other's keyed requests."""
 
     ALL = "all"
     ZONE = "zone"
     CELL = "cell"
 
-    def joins(self, one: ServerEntry, other: ServerEntry) -> bool:
+    def shared_by(self, one: ServerEntry, other: ServerEntry) -> bool:
         """Whether two servers drop each other's repeats."""
-        if self is Group.ZONE:
+        if self is RepeatGroup.ZONE:
             return one.zone == other.zone
-        return self is Group.ALL or one.cell == other.cell
+        return self is RepeatGroup.ALL or one.cell == other.cell
 
 
-class State(Enum):
+class ServerState(Enum):
     """A listed server's state."""
 
     READY = "ready"
@@ -60,16 +60,16 @@
 
     OK = "ok"
     ERROR = "error"
-    FULL = "full"
+    BUSY = "busy"
     TIMEOUT = "timeout"
     CONNECT_FAILED = "connect_failed"
     RESET = "reset"
     CANCELLED = "cancelled"
-    MOOT = "moot"
+    UNSENT = "unsent"
     MISS = "miss"
 
 
-NEVER_RAN = (Status.FULL, Status.CONNECT_FAILED, Status.MOOT, Status.MISS)  # proven by the outcome itself
+NEVER_RAN = (Status.BUSY, Status.CONNECT_FAILED, Status.UNSENT, Status.MISS)  # proven by the outcome itself
 
 
 @dataclass(slots=True, frozen=True)
@@ -78,11 +78,11 @@
 
     name: str
     aim: float
-    effect: Effect = Effect.SAFE
-    group: Group = Group.ALL
-    window: float = 0.0
-    worth: float = 1.0
-    give_up: float = math.inf  # the longest that a client waits
+    retry_safety: RetrySafety = RetrySafety.SAFE
+    repeat_group: RepeatGroup = RepeatGroup.ALL
+    repeat_window: float = 0.0
+    value: float = 1.0
+    client_timeout: float = math.inf  # the longest that a client waits
 
 
 @dataclass(slots=True, frozen=True)
@@ -90,28 +90,28 @@
     """What a router is told once, at its start. Only fields that decisions or a host use are kept."""
 
     classes: dict[str, RequestClass]
-    tick: float = 0.005
+    timer_resolution: float = 0.005
     aside: bool = False  # a miss is ours to fetch from the origin
     origin_kind: str | None = None
     live_weights: bool = False  # a weight falls with its server's load
     subscribe: bool = False  # changes of the list come only after asking
     second_copies: bool = False
     may_cancel: bool = False
-    peers: bool = False  # routers may send each other messages
+    gossip: bool = False  # routers may send each other messages
     max_attempts: int = 1
     siblings: int = 1  # routers in all
-    number: int = 0  # of this one among them
-    connection_idle: float = 60.0  # after this a host closes an idle connection by itself
+    sibling_index: int = 0  # of this one among them
+    idle_timeout: float = 60.0  # after this a host closes an idle connection by itself
     dial_timeout: float = 0.25  # a connection that is not up by then has failed
     max_retry_after: float = 0.0  # longest time to come back that clients honour
-    connection_price: float = 0.0  # of 100 open connections at every server
-    handshake_price: float = 0.0  # of a new connection for every request
+    connection_cost: float = 0.0  # of 100 open connections at every server
+    handshake_cost: float = 0.0  # of a new connection for every request
     cold_share: float = 0.3
     ramp: float = 10.0
-    fall_multiple: float = 2.0
-    fall_window: float = 1.0
+    overload_factor: float = 2.0
+    overload_window: float = 1.0
     drain_grace: float = 1.0  # from then on nothing may go to a server that is told to drain
-    must_ask_in: float = 10.0  # a router that has not asked for as long counts as told what was listed then
+    max_list_age: float = 10.0  # a router that has not asked for as long counts as told what was listed then
 
     @property
     def shortest_aim(self) -> float:
@@ -124,17 +124,17 @@
     """One line of the list of servers."""
 
     server: str
-    state: State = State.READY
+    state: ServerState = ServerState.READY
     kind: str = ""
     zone: str = ""
     cell: int = 0
     weight: float = 0.0
-    since: float = 0.0  # time of the latest start; 0 is long ago
+    started_at: float = 0.0  # time of the latest start; 0 is long ago
 
     @property
     def ready(self) -> bool:
         """Whether it may be sent anything new."""
-        return self.state is State.READY
+        return self.state is ServerState.READY
 
 
 @dataclass(slots=True, frozen=True)
@@ -149,19 +149,19 @@
 class Request:
     """A client's request; it is owed exactly one final answer within `time_left`."""
 
-    request: str
+    request_id: str
     request_class: str
     time_left: float
     key: str | None = None
-    hint: float | None = None
+    cost_hint: float | None = None
     write: bool = False
 
 
 @dataclass(slots=True, frozen=True)
-class Streaming:
+class ResponseStarted:
     """The answer of an attempt has begun to flow to the client."""
 
-    request: str
+    request_id: str
     attempt: int
 
 
@@ -169,10 +169,10 @@
 class Outcome:
     """The end of an attempt; `closed` when the request itself has ended."""
 
-    request: str
+    request_id: str
     attempt: int
     status: Status
-    closed: bool = False
+    request_done: bool = False
     latency: float = 0.0
 
 
@@ -180,11 +180,11 @@
 class ClientGone:
     """The client left; nothing is owed any more."""
 
-    request: str
+    request_id: str
 
 
 @dataclass(slots=True, frozen=True)
-class Ending:
+class Shutdown:
     """The router has been told to end: every request must have its final answer within `time_left`."""
 
     time_left: float
@@ -204,14 +204,14 @@
     content: bytes
 
 
-Event = PeerMessage | ServerList | Request | Streaming | Outcome | ClientGone | Ending | TimerFired
+Event = PeerMessage | ServerList | Request | ResponseStarted | Outcome | ClientGone | Shutdown | TimerFired
 
 
 @dataclass(slots=True, frozen=True)
 class Send:
     """Start an attempt; a request's attempts are numbered from 0 in the order sent."""
 
-    request: str
+    request_id: str
     server: str
     timeout: float | None = None  # None: until the client gives up
 
@@ -220,27 +220,27 @@
 class Refuse:
     """Final answer: not done, and trying again is harmless."""
 
-    request: str
-    come_back: float = 0.0  # how long the client should wait before that; 0 is no advice
+    request_id: str
+    retry_after: float = 0.0  # how long the client should wait before that; 0 is no advice
 
 
 @dataclass(slots=True, frozen=True)
 class Fail:
     """Final answer that promises nothing."""
 
-    request: str
+    request_id: str
 
 
 @dataclass(slots=True, frozen=True)
 class Cancel:
     """Stop waiting for an attempt; whether the server stops work is its own matter."""
 
-    request: str
+    request_id: str
     attempt: int
 
 
 @dataclass(slots=True, frozen=True)
-class Close:
+class CloseIdle:
     """Close idle connections to a server."""
 
     server: str
@@ -260,7 +260,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Tell:
+class Broadcast:
     """Send something to every peer, at most 256 bytes; it may get lost."""
 
     content: bytes
@@ -273,4 +273,4 @@
     text: str
 
 
-Action = Send | Refuse | Fail | Cancel | Close | SetTimer | Subscribe | Tell | Log
+Action = Send | Refuse | Fail | Cancel | CloseIdle | SetTimer | Subscribe | Broadcast | Log
--- a/brackenwalk/net/discovery.py
+++ b/brackenwalk/net/discovery.py
@@ -16,7 +16,11 @@
 from brackenwalk.net.http import HttpClient, HttpError
 from brackenwalk.net.pool import address_of
 
-STATES = {"in_service": api.State.READY, "terminating": api.State.DRAINING, "terminated": api.State.GONE}
+STATES = {
+    "in_service": api.ServerState.READY,
+    "terminating": api.ServerState.DRAINING,
+    "terminated": api.ServerState.GONE,
+}
 MAX_LIST = 4 * 1024 * 1024
 # with the margin, 5 s: after 6 s news that did not arrive counts as told, and a new call takes time as well
 WATCH_WAIT = 3.0
@@ -62,7 +66,7 @@
         zone=field(line, "zone", str, where),
         cell=field(line, "group", int, where),
         weight=max(0.0, field(line, "weight", (int, float), where)),
-        since=field(line, "since_ms", (int, float), where) / 1000,  # Unix time, as the host's clock
+        started_at=field(line, "since_ms", (int, float), where) / 1000,  # Unix time, as the host's clock
     )
     return Member(entry, address)
 
--- a/brackenwalk/net/host.py
+++ b/brackenwalk/net/host.py
@@ -124,10 +124,10 @@
             case api.Refuse():
                 self._refuse(action)
             case api.Fail():
-                self._close(action.request, FAILED)
+                self._close(action.request_id, FAILED)
             case api.Cancel():
                 self._cancel(action)
-            case api.Close():
+            case api.CloseIdle():
                 if action.server in self.members:
                     self._pool(action.server).close_idle(self.members[action.server].address)
             case api.SetTimer():
@@ -135,7 +135,7 @@
                 loop.call_later(action.delay, self.post, api.TimerFired(action.token))
             case api.Subscribe():
                 self.subscribe()
-            case api.Tell():
+            case api.Broadcast():
                 self.tell(action.content)
             case api.Log():
                 log.info("%s", action.text)
@@ -158,7 +158,7 @@
             self.members = {}
         for member in members:
             name = member.entry.server
-            if member.entry.state is api.State.GONE:
+            if member.entry.state is api.ServerState.GONE:
                 self.members.pop(name, None)
             else:
                 self.members[name] = member
@@ -167,7 +167,7 @@
             for attempt in list(taken.attempts.values()):
                 # guards drains: a connection that comes up late would still carry what nobody may send by now
                 if attempt.exchange is not None and attempt.exchange.unsent() and self._outdated(attempt):
-                    self._give_up(taken, attempt, api.Status.MOOT)
+                    self._give_up(taken, attempt, api.Status.UNSENT)
 
     def _outdated(self, attempt: Attempt) -> bool:
         """Whether the list tells of its server that it drains, is gone or has started again."""
@@ -175,7 +175,7 @@
         now = self.members.get(then.entry.server) if then is not None else None
         if then is None or now is None or not now.entry.ready:
             return True
-        return (now.entry.since, now.address) != (then.entry.since, then.address)
+        return (now.entry.started_at, now.address) != (then.entry.started_at, then.address)
 
     def _is_origin(self, member: Member) -> bool:
         return self.settings.aside and member.entry.kind == self.settings.origin_kind
@@ -230,7 +230,7 @@
                 taken.deadline = self.end
                 taken.timer.cancel()
                 taken.timer = asyncio.get_running_loop().call_later(time_left, self._overdue, name)
-        self.post(api.Ending(time_left))
+        self.post(api.Shutdown(time_left))
 
     def _overdue(self, name: str) -> None:
         """The deadline: attempts still out time out, and an ended request is forgotten."""
@@ -259,21 +259,21 @@
         for attempt in list(taken.attempts.values()):
             # what has not gone out yet needs no cancelling at any server, and nobody waits for it
             if attempt.exchange is not None and attempt.exchange.unsent():
-                self._give_up(taken, attempt, api.Status.MOOT)
+                self._give_up(taken, attempt, api.Status.UNSENT)
         if taken.overdue:
             del self.requests[name]
 
     def _refuse(self, action: api.Refuse) -> None:
         """A refusal at once, that tells the client when to come back if the module has advice."""
-        pause = math.ceil(action.come_back * 1000)
-        self._close(action.request, b"-BUSY %d\r\n" % pause if pause else b"-BUSY\r\n")
+        pause = math.ceil(action.retry_after * 1000)
+        self._close(action.request_id, b"-BUSY %d\r\n" % pause if pause else b"-BUSY\r\n")
 
     # Attempts
 
     def _send(self, action: api.Send) -> None:
-        taken = self.requests.get(action.request)
+        taken = self.requests.get(action.request_id)
         if taken is None:
-            log.error("a send for %s, which is long over", action.request)
+            log.error("a send for %s, which is long over", action.request_id)
             return
         now = self.clock.now()
         attempt = Attempt(taken.sent, now)
@@ -283,7 +283,7 @@
             taken.look()
         over = taken.closed or taken.overdue or attempt.number >= self.settings.max_attempts
         if over or action.server not in self.members:
-            self._finish(taken, attempt, api.Status.MOOT if over else api.Status.CONNECT_FAILED)
+            self._finish(taken, attempt, api.Status.UNSENT if over else api.Status.CONNECT_FAILED)
             return
         time_left = taken.deadline - now
         if action.timeout is not None and action.timeout < time_left:
@@ -299,7 +299,7 @@
         attempt.exchange = pool.start(address, taken.command, time_left, done, taken.look)
 
     def _cancel(self, action: api.Cancel) -> None:
-        taken = self.requests.get(action.request)
+        taken = self.requests.get(action.request_id)
         attempt = taken.attempts.get(action.attempt) if taken is not None else None
         if taken is not None and attempt is not None:
             self._give_up(taken, attempt, api.Status.CANCELLED)
--- a/brackenwalk/net/origin.py
+++ b/brackenwalk/net/origin.py
@@ -33,7 +33,7 @@
         if response.status == 200:
             return Status.OK, response.body
         not_started = response.status in (503, 504) and response.headers.get(b"not-started") == b"1"
-        return (Status.FULL if not_started else Status.ERROR), b""
+        return (Status.BUSY if not_started else Status.ERROR), b""
 
     def eof_received(self) -> None:
         """A body may end with its connection; one cut short is a reset, told by `connection_lost`."""
--- a/brackenwalk/net/servers.py
+++ b/brackenwalk/net/servers.py
@@ -45,7 +45,7 @@
             word = str(reply).split(" ")[0]
             if word not in ("BUSY", "ERR"):
                 raise MalformedAnswer(repr(reply)[:80])
-            return (Status.FULL if word == "BUSY" else Status.ERROR), b""
+            return (Status.BUSY if word == "BUSY" else Status.ERROR), b""
         # the value or receipt, how it went, the load report: each may be null
         if not isinstance(reply, list) or len(reply) != PARTS:
             raise MalformedAnswer(repr(reply)[:80])
--- a/brackenwalk/policy.py
+++ b/brackenwalk/policy.py
@@ -35,7 +35,7 @@
 FAULTY = 3  # failures in a row that are no chance; from then on one trial every SILENCE
 KEEP = 0.5  # of the idle time at which a connection costs as much as the handshake it saves
 KEEP_GAIN = 0.01  # of the way back to KEEP with each answer, after failures have cut it by half each
-UNHEARD = (api.Status.TIMEOUT, api.Status.CANCELLED, api.Status.MOOT)
+UNHEARD = (api.Status.TIMEOUT, api.Status.CANCELLED, api.Status.UNSENT)
 
 
 class Router:
@@ -80,17 +80,17 @@
                 if name in self.named:
                     self.shares.ease(self.named[name])
                     self.telling.drop(self.named[name])
-        elif isinstance(event, api.ClientGone) and event.request in self.held:
-            self._forget(self.held[event.request])
-        elif isinstance(event, api.Streaming) and event.request in self.held:
-            self.held[event.request].streaming = True
-        elif isinstance(event, api.Ending):
+        elif isinstance(event, api.ClientGone) and event.request_id in self.held:
+            self._forget(self.held[event.request_id])
+        elif isinstance(event, api.ResponseStarted) and event.request_id in self.held:
+            self.held[event.request_id].streaming = True
+        elif isinstance(event, api.Shutdown):
             self._on_ending(event)
         return self.out
 
-    def _on_ending(self, event: api.Ending) -> None:
+    def _on_ending(self, event: api.Shutdown) -> None:
         """Wait for nothing that would come after the end."""
-        self.end_at = self.now + event.time_left - self.settings.tick
+        self.end_at = self.now + event.time_left - self.settings.timer_resolution
         for held in self.held.values():
             held.until = min(held.until, self.end_at)
             if held.waiting:
@@ -109,9 +109,11 @@
                 self._drop(i)
         for entry in event.entries:
             known = self.servers.get(entry.server)
-            if entry.state is api.State.GONE:
+            if entry.state is api.ServerState.GONE:
                 self._drop(entry.server)
-            elif known is None or entry.since > known.entry.since:  # a new process: nothing learned holds
+            elif (
+                known is None or entry.started_at > known.entry.started_at
+            ):  # a new process: nothing learned holds
                 self._drop(entry.server)
                 origin = self.settings.aside and entry.kind == self.settings.origin_kind
                 name = ring_hash(entry.server)[0] >> 32
@@ -247,19 +249,19 @@
     def _on_request(self, request: api.Request) -> None:
         kind = self.settings.classes.get(request.request_class)
         if kind is None:  # counted as demand, what is never sent would push aside what is
-            self.out.append(api.Refuse(request.request))
+            self.out.append(api.Refuse(request.request_id))
             return
-        until = min(self.end_at, self.now + min(request.time_left - self.settings.tick, kind.aim))
-        position = ring_hash(request.request if request.key is None else request.key)[0]
+        until = min(self.end_at, self.now + min(request.time_left - self.settings.timer_resolution, kind.aim))
+        position = ring_hash(request.request_id if request.key is None else request.key)[0]
         to_origin = self.settings.aside and request.write
-        held = self.held[request.request] = Held(request, kind, until, to_origin, position)
+        held = self.held[request.request_id] = Held(request, kind, until, to_origin, position)
         self.taken += 1
         if not held.to_origin:
             self.demand.add(held.position >> 32)
         if self.caches and self.telling.due(self.now):
             self.shares.plan(self._clockwise, self.ring.first)
             if message := self.telling.message(self.now):
-                self.out.append(api.Tell(message))
+                self.out.append(api.Broadcast(message))
         self.retries = min(RETRIES_SAVED, self.retries + RETRY_SHARE)
         self._advance(held)
 
@@ -270,13 +272,13 @@
         waits = held.open_attempts() and not self.settings.second_copies
         if server is not None and (waits or len(held.attempts) >= self.settings.max_attempts):
             return False
-        if kind.effect is api.Effect.SAFE or not ran:
+        if kind.retry_safety is api.RetrySafety.SAFE or not ran:
             return True
-        if kind.effect is api.Effect.UNSAFE or server is None:
-            return kind.effect is api.Effect.KEYED and kind.group is api.Group.ALL
+        if kind.retry_safety is api.RetrySafety.UNSAFE or server is None:
+            return kind.retry_safety is api.RetrySafety.KEYED and kind.repeat_group is api.RepeatGroup.ALL
         # guards against a second effect: a connection may have to come up first
-        in_window = self.now + self.settings.dial_timeout < min(a.sent_at for a in ran) + kind.window
-        return in_window and all(kind.group.joins(a.server.entry, server.entry) for a in ran)
+        in_window = self.now + self.settings.dial_timeout < min(a.sent_at for a in ran) + kind.repeat_window
+        return in_window and all(kind.repeat_group.shared_by(a.server.entry, server.entry) for a in ran)
 
     def _advance(self, held: Held) -> None:
         """Send the next attempt, hold the request for one, or end it."""
@@ -293,24 +295,26 @@
 
     def _send(self, held: Held, server: Server) -> None:
         target = (CACHE_TARGET if server.cache else ORIGIN_TARGET) * held.request_class.aim
-        attempt = self.attempts[held.request.request, len(held.attempts)] = Attempt(server, target, self.now)
+        attempt = self.attempts[held.request.request_id, len(held.attempts)] = Attempt(
+            server, target, self.now
+        )
         held.attempts.append(attempt)
         server.load += 1
         server.quiet_since = min(server.quiet_since, self.now)
         if server.cache and (zone := self.shares.zones.get(server.entry.zone)) is not None:
             zone.tried_at = self.now
-        self.out.append(api.Send(held.request.request, server.entry.server))
+        self.out.append(api.Send(held.request.request_id, server.entry.server))
         self._look_again(held, attempt)
 
     def _look_again(self, held: Held, last: Attempt) -> None:
         """Come back to an attempt when it has taken far longer than usual."""
         last.late_at = self.now + max(last.target, LOST * last.server.latency)
         if self.settings.second_copies and last.late_at < held.until:
-            self.out.append(api.SetTimer(last.late_at - self.now, "late:" + held.request.request))
+            self.out.append(api.SetTimer(last.late_at - self.now, "late:" + held.request.request_id))
 
     def _copy(self, held: Held, last: Attempt) -> None:
         """A second copy of what got lost on its way: far past the usual time, and later ones are answered."""
-        late = last.open and self.now >= last.late_at - self.settings.tick / 2
+        late = last.open and self.now >= last.late_at - self.settings.timer_resolution / 2
         if late:
             self._unheard(last)
         slow = last.server.heard <= last.sent_at and not self._cut_off(last.server)
@@ -328,27 +332,29 @@
             self.calls.asked(self.now)
             self.out.append(api.Subscribe())
         elif what == "idle" and (idle := self.servers.get(name)) is not None:
-            idle.look_at = idle.look_at if self.now < idle.look_at - self.settings.tick else math.inf
+            idle.look_at = (
+                idle.look_at if self.now < idle.look_at - self.settings.timer_resolution else math.inf
+            )
             self._close_idle(idle)
         held = self.held.get(name)
         if held is not None and held.waiting:
             # half a tick of grace: rounding may wake us a hair before
-            late = self.now >= self._latest_start(held, self._origin()) - self.settings.tick / 2
+            late = self.now >= self._latest_start(held, self._origin()) - self.settings.timer_resolution / 2
             (self._end if late else self._wake_in_time)(held)
         elif held is not None and what == "late" and not held.streaming:
             self._copy(held, held.attempts[-1])
 
     def _close_idle(self, server: Server) -> None:
         """Guards against full tables: an idle connection goes once its price has passed a new one's."""
-        price = self.settings.connection_price
+        price = self.settings.connection_cost
         if server.load or not price:
             return
         rate = self.taken / max(self.now - self.born, self.shortest_aim) * self.settings.siblings
-        keep = self.keep * self.settings.handshake_price / price * 100 * len(self.caches) / rate
+        keep = self.keep * self.settings.handshake_cost / price * 100 * len(self.caches) / rate
         left = server.used_at + keep - self.now
-        if left < self.settings.tick:
-            self.out.append(api.Close(server.entry.server))
-        elif left < min(self.settings.connection_idle, (server.look_at - self.now) / 2):
+        if left < self.settings.timer_resolution:
+            self.out.append(api.CloseIdle(server.entry.server))
+        elif left < min(self.settings.idle_timeout, (server.look_at - self.now) / 2):
             # guards memory: a timer that is out will look again, unless it comes far too late
             server.look_at = self.now + left
             self.out.append(api.SetTimer(left, "idle:" + server.entry.server))
@@ -358,25 +364,27 @@
         held.waiting = False
         if held.streaming or held.open_attempts():
             return
-        name, origin = held.request.request, self._origin() if held.to_origin else None
+        name, origin = held.request.request_id, self._origin() if held.to_origin else None
         # by then what stood in its way is over; guards against all that were refused coming back at once
         usual = 2 * (origin.latency if origin else self.wait)
         if (
             held.spared and not held.attempts
         ):  # no warm one took it, and what cold ones bear counts by the window
-            usual = max(usual, self.settings.fall_window)
+            usual = max(usual, self.settings.overload_window)
         come_back = min(self.settings.max_retry_after, usual) * self.random.uniform(0.5, 1.0)
         self.out.append(api.Refuse(name, come_back) if self._permits(held, None) else api.Fail(name))
         self._forget(held)
 
     def _forget(self, held: Held) -> None:
         held.waiting = False
-        del self.held[held.request.request]
+        del self.held[held.request.request_id]
         if self.settings.may_cancel:
-            self.out += [api.Cancel(held.request.request, i) for i, a in enumerate(held.attempts) if a.open]
+            self.out += [
+                api.Cancel(held.request.request_id, i) for i, a in enumerate(held.attempts) if a.open
+            ]
 
     def _on_outcome(self, event: api.Outcome) -> None:
-        attempt = self.attempts.pop((event.request, event.attempt), None)
+        attempt = self.attempts.pop((event.request_id, event.attempt), None)
         if attempt is None:
             return
         attempt.open = False
@@ -401,10 +409,10 @@
         self._close_idle(attempt.server)
         if told:
             self._learn_limit(attempt, event)
-        held = self.held.get(event.request)
+        held = self.held.get(event.request_id)
         if held is not None:
             missed = event.status is api.Status.MISS and not held.to_origin  # whatever copies are out
-            if event.closed or event.status is api.Status.OK:
+            if event.request_done or event.status is api.Status.OK:
                 self._forget(held)
             elif not held.waiting and (missed or not held.open_attempts()):
                 self._after_failure(held, event)
@@ -417,7 +425,7 @@
             held.to_origin = True
         elif event.status is api.Status.ERROR and not self.settings.aside:
             held.until = self.now  # guards against a failing origin: each server tried fetches the key again
-        elif not held.to_origin and (event.status is not api.Status.FULL or self.shares.good < ROOM):
+        elif not held.to_origin and (event.status is not api.Status.BUSY or self.shares.good < ROOM):
             # guards against feeding an overload: full servers made every request into a dozen attempts
             held.until = held.until if self.retries >= 1 else self.now
             self.retries = max(0.0, self.retries - 1)
@@ -428,13 +436,13 @@
         held.waiting = True
         self._wake_in_time(held)
         self.queued += 1
-        heapq.heappush(self.queue, (-held.request_class.worth, self.queued, held))
+        heapq.heappush(self.queue, (-held.request_class.value, self.queued, held))
         self._serve_queue()
 
     def _wake_in_time(self, held: Held) -> None:
         """A timer, so that a request that waits is answered in time whatever comes."""
         pause = max(0.0, self._latest_start(held, self._origin()) - self.now)
-        self.out.append(api.SetTimer(pause, "wait:" + held.request.request))
+        self.out.append(api.SetTimer(pause, "wait:" + held.request.request_id))
 
     def _latest_start(self, held: Held, origin: Server | None) -> float:
         """From then on no fetch would be back in time; writes need less room, as they store nothing."""
@@ -467,20 +475,20 @@
         server = attempt.server
         well = event.status in (api.Status.OK, api.Status.MISS)
         server.heard = max(server.heard, attempt.sent_at if well else -math.inf)
-        server.wrong = 0 if well else server.wrong + (event.status not in (*UNHEARD, api.Status.FULL))
+        server.wrong = 0 if well else server.wrong + (event.status not in (*UNHEARD, api.Status.BUSY))
         if server.wrong >= FAULTY:
             self._found_ailing(server)
         if server.cache:
             self.shares.good += SMOOTHING * (well - self.shares.good)
             self.wait += SMOOTHING * (event.latency / (1 + server.reported) - self.wait)
-        if event.status is not api.Status.FULL:
+        if event.status is not api.Status.BUSY:
             server.latency += SMOOTHING * (event.latency - server.latency)
         server.slowness += SMOOTHING * (event.latency / attempt.target - server.slowness)
-        if event.status is api.Status.FULL or server.slowness > 1.0:
+        if event.status is api.Status.BUSY or server.slowness > 1.0:
             if self.now - server.cut_at > attempt.target:
                 server.limit = max(1.0, server.limit * LIMIT_CUT)
                 server.cut_at = self.now
-            if event.status is api.Status.FULL:  # what is out there now is what it bears
+            if event.status is api.Status.BUSY:  # what is out there now is what it bears
                 server.limit = max(1.0, min(server.limit, server.load))
         elif well and server.load + 1 >= server.limit / 2:
             server.limit += 1 / server.limit
--- a/brackenwalk/settings.py
+++ b/brackenwalk/settings.py
@@ -7,7 +7,11 @@
 
 from brackenwalk import interface as api
 
-EFFECTS = {"free": api.Effect.SAFE, "guarded": api.Effect.KEYED, "single_shot": api.Effect.UNSAFE}
+EFFECTS = {
+    "free": api.RetrySafety.SAFE,
+    "guarded": api.RetrySafety.KEYED,
+    "single_shot": api.RetrySafety.UNSAFE,
+}
 
 
 def number(table: dict[str, Any], field: str, default: float, where: str, least: float = 0.0) -> float:
@@ -56,15 +60,15 @@
 def read_class(row: dict[str, Any]) -> api.RequestClass:
     """One class of the settings."""
     where = f"classes[{row['name']}]."
-    groups = {g.value: g for g in api.Group}
+    groups = {g.value: g for g in api.RepeatGroup}
     return api.RequestClass(
         name=row["name"],
         aim=number(row, "aim", number(row, "giveUp", 1.0, where), where),
-        effect=choice(row, "effect", "single_shot", EFFECTS, where),
-        group=choice(row, "group", "cell", groups, where),
-        window=number(row, "repeatWindow", 0.0, where),
-        worth=number(row, "value", 1.0, where),
-        give_up=number(row, "giveUp", math.inf, where),
+        retry_safety=choice(row, "effect", "single_shot", EFFECTS, where),
+        repeat_group=choice(row, "group", "cell", groups, where),
+        repeat_window=number(row, "repeatWindow", 0.0, where),
+        value=number(row, "value", 1.0, where),
+        client_timeout=number(row, "giveUp", math.inf, where),
     )
 
 
@@ -81,26 +85,26 @@
     origin = int(number(info, "originKind", -1, "familyInfo.", -1))
     return api.Settings(
         classes=classes,
-        tick=number(conf, "resolution", 0.005, ""),
+        timer_resolution=number(conf, "resolution", 0.005, ""),
         aside=choice(info, "mode", "through", {"aside": True, "through": False}, "familyInfo."),
         origin_kind=str(kinds[origin]) if 0 <= origin < len(kinds) else None,
         subscribe=choice(conf, "membershipMode", "automatic", {"subscribe": True, "automatic": False}, ""),
         live_weights=conf.get("weights") == "live",
         second_copies=bool(limits.get("secondCopies", False)),
         may_cancel=bool(limits.get("mayCancel", False)),
-        peers=bool(limits.get("peers", False)),
+        gossip=bool(limits.get("peers", False)),
         max_attempts=max(1, int(number(limits, "mostTries", 1, "limits."))),
         siblings=max(1, int(number(conf, "siblings", 1, ""))),
-        number=int(number(conf, "me", 0, "")),
-        connection_idle=number(limits, "connIdle", 60.0, "limits."),
+        sibling_index=int(number(conf, "me", 0, "")),
+        idle_timeout=number(limits, "connIdle", 60.0, "limits."),
         dial_timeout=number(limits, "dialTimeout", 0.25, "limits."),
         max_retry_after=number(limits, "maxRetryAfter", 0.0, "limits."),
-        connection_price=number(prices, "connection", 0.0, "penalties."),
-        handshake_price=number(prices, "handshake", 0.0, "penalties."),
+        connection_cost=number(prices, "connection", 0.0, "penalties."),
+        handshake_cost=number(prices, "handshake", 0.0, "penalties."),
         cold_share=number(rules, "coldFrom", 0.3, "rules."),
         ramp=number(rules, "rampTime", 10.0, "rules."),
-        fall_multiple=number(rules, "fallMultiple", 2.0, "rules."),
-        fall_window=number(rules, "overloadFor", 1.0, "rules."),
+        overload_factor=number(rules, "fallMultiple", 2.0, "rules."),
+        overload_window=number(rules, "overloadFor", 1.0, "rules."),
         drain_grace=number(rules, "stopSendingWithin", 1.0, "rules."),
-        must_ask_in=number(rules, "mustAskIn", 10.0, "rules."),
+        max_list_age=number(rules, "mustAskIn", 10.0, "rules."),
     )
--- a/brackenwalk/shares.py
+++ b/brackenwalk/shares.py
@@ -72,10 +72,10 @@
         One whose zone was lost and is back may have started again, which the list tells later.
         """
         zone = self.zones.get(server.entry.zone)
-        lost = zone is not None and server.entry.since < zone.lost_at
-        if zone is not None and lost and self.now - zone.back_at < ASK * self.settings.must_ask_in:
+        lost = zone is not None and server.entry.started_at < zone.lost_at
+        if zone is not None and lost and self.now - zone.back_at < ASK * self.settings.max_list_age:
             return zone.back_at
-        return server.entry.since
+        return server.entry.started_at
 
     def cold(self, server: Server) -> bool:
         """Whether a server still warms up."""
@@ -132,7 +132,7 @@
         self.mean_eased = self._mean(self.eased)
         self.level = self._mean(self.kept)  # guards cold servers: they'd get more as others keep less
         able = self._mean(self.stated)
-        self.bold = min(self.settings.fall_multiple / 2, 1 / able if able > 0 else math.inf)
+        self.bold = min(self.settings.overload_factor / 2, 1 / able if able > 0 else math.inf)
 
         def whole(position: int) -> Server | None:
             return None if (server := first(position)) in self.unsteady else server
--- a/brackenwalk/wirehost.py
+++ b/brackenwalk/wirehost.py
@@ -12,7 +12,7 @@
 from brackenwalk.policy import Router
 from brackenwalk.settings import read_settings
 
-STATES = {"active": api.State.READY, "leaving": api.State.DRAINING, "left": api.State.GONE}
+STATES = {"active": api.ServerState.READY, "leaving": api.ServerState.DRAINING, "left": api.ServerState.GONE}
 KINDS = {
     "INCREMENTAL": api.ListKind.DELTA,
     "FULL": api.ListKind.FULL,
@@ -22,12 +22,12 @@
 STATUSES = {
     "delivered": api.Status.OK,
     "app_error": api.Status.ERROR,
-    "shed": api.Status.FULL,
+    "shed": api.Status.BUSY,
     "expired": api.Status.TIMEOUT,
     "dial_failed": api.Status.CONNECT_FAILED,
     "dropped": api.Status.RESET,
     "revoked": api.Status.CANCELLED,
-    "unused": api.Status.MOOT,
+    "unused": api.Status.UNSENT,
     "empty": api.Status.MISS,
 }
 
@@ -45,7 +45,7 @@
         zone=e.get("site") or "",
         cell=e.get("stripe") or 0,
         weight=max(0.0, e.get("weight") or 0.0),
-        since=e.get("since") or 0.0,
+        started_at=e.get("since") or 0.0,
     )
 
 
@@ -76,7 +76,7 @@
 READERS: dict[str, Callable[[dict[str, Any]], api.Event]] = {
     "Membership": read_list,
     "Request": read_request,
-    "Begun": lambda e: api.Streaming(e["ticket"], e["sendNo"]),
+    "Begun": lambda e: api.ResponseStarted(e["ticket"], e["sendNo"]),
     "Done": read_outcome,
     "Aborted": lambda e: api.ClientGone(e["ticket"]),
     "Heard": lambda e: api.PeerMessage(bytes.fromhex(e["content"])),
@@ -88,25 +88,25 @@
 def write_send(a: api.Send) -> dict[str, Any]:
     """A new attempt."""
     if a.timeout is None:
-        return {"op": "Send", "ticket": a.request, "server": a.server}
-    return {"op": "Send", "ticket": a.request, "server": a.server, "timeout": a.timeout}
+        return {"op": "Send", "ticket": a.request_id, "server": a.server}
+    return {"op": "Send", "ticket": a.request_id, "server": a.server, "timeout": a.timeout}
 
 
 def write_refuse(a: api.Refuse) -> dict[str, Any]:
     """A refusal, with advice if there is any."""
-    advice = {"coolDown": a.come_back} if a.come_back else {}
-    return {"op": "Reject", "ticket": a.request, **advice}
+    advice = {"coolDown": a.retry_after} if a.retry_after else {}
+    return {"op": "Reject", "ticket": a.request_id, **advice}
 
 
 WRITERS: dict[type, Callable[[Any], dict[str, Any]]] = {
     api.Send: write_send,
     api.Refuse: write_refuse,
-    api.Fail: lambda a: {"op": "GiveUp", "ticket": a.request},
-    api.Cancel: lambda a: {"op": "Cancel", "ticket": a.request, "sendNo": a.attempt},
-    api.Close: lambda a: {"op": "LetGo", "server": a.server},
+    api.Fail: lambda a: {"op": "GiveUp", "ticket": a.request_id},
+    api.Cancel: lambda a: {"op": "Cancel", "ticket": a.request_id, "sendNo": a.attempt},
+    api.CloseIdle: lambda a: {"op": "LetGo", "server": a.server},
     api.SetTimer: lambda a: {"op": "Timer", "fromNow": a.delay, "ctx": a.token},
     api.Subscribe: lambda a: {"op": "Listen", "enable": True},
-    api.Tell: lambda a: {"op": "Announce", "target": None, "content": a.content.hex()},
+    api.Broadcast: lambda a: {"op": "Announce", "target": None, "content": a.content.hex()},
     api.Log: lambda a: {"op": "Record", "line": a.text},
 }
 
--- a/fleetlab/model.py
+++ b/fleetlab/model.py
@@ -147,7 +147,7 @@
             self.feed(number, api.ServerList(api.ListKind.SAVED, tuple(saved)))
 
     def make(self, number: int) -> Router:
-        return Router(replace(self.conf, number=number), self.random.getrandbits(64), self.now)
+        return Router(replace(self.conf, sibling_index=number), self.random.getrandbits(64), self.now)
 
     def restart(self, number: int, saved: list[api.ServerEntry]) -> None:
         """A killed router begins again and knows nothing but a list."""
@@ -163,9 +163,9 @@
         self.pending = [p for p in self.pending if p[2] not in self.gone]
         for at, count, number, event in list(self.pending):
             if isinstance(event, api.Outcome) and self._server(number, event) in self.lost:
-                late = replace(event, status=api.Status.TIMEOUT, closed=False, latency=TIME_LEFT)
+                late = replace(event, status=api.Status.TIMEOUT, request_done=False, latency=TIME_LEFT)
                 self.pending.remove((at, count, number, event))
-                self.pending.append((self.due.get(event.request, at), count, number, late))
+                self.pending.append((self.due.get(event.request_id, at), count, number, late))
         heapq.heapify(self.pending)
 
     def find(self, servers: Iterable[str], routers: Iterable[int] = ()) -> None:
@@ -175,7 +175,7 @@
         self.dialled = {d for d in self.dialled if d[1] in self.lost}
 
     def _server(self, number: int, event: api.Outcome) -> str | None:
-        attempt = self.routers[number].attempts.get((event.request, event.attempt))
+        attempt = self.routers[number].attempts.get((event.request_id, event.attempt))
         return attempt.server.entry.server if attempt is not None else None
 
     def later(self, delay: float, number: int, event: api.Event) -> None:
@@ -187,16 +187,16 @@
         for action in self.routers[number].handle(self.now, event):
             if isinstance(action, api.Send):
                 self.send(number, action)
-            elif isinstance(action, api.Tell):
+            elif isinstance(action, api.Broadcast):
                 self.tell(number, action.content)
             elif isinstance(action, (api.Refuse, api.Fail)):
-                self.end(action.request, "failed")
-                self.pauses += [action.come_back] if isinstance(action, api.Refuse) else []
+                self.end(action.request_id, "failed")
+                self.pauses += [action.retry_after] if isinstance(action, api.Refuse) else []
             elif isinstance(action, api.SetTimer) and self.hosted:
                 self.later(action.delay, number, api.TimerFired(action.token))
             elif isinstance(action, api.Cancel) and self.hosted:
                 self.later(
-                    0.0, number, api.Outcome(action.request, action.attempt, api.Status.CANCELLED, True)
+                    0.0, number, api.Outcome(action.request_id, action.attempt, api.Status.CANCELLED, True)
                 )
 
     def tell(self, number: int, content: bytes) -> None:
@@ -214,8 +214,8 @@
                 self.later(ON_THE_WAY, other, api.PeerMessage(content))
 
     def send(self, number: int, action: api.Send) -> None:
-        self.sent[action.server].append((self.now, self.keys.get(action.request, "")))
-        attempt, status, delay = self.tries[action.request], self.answers(action.server), self.latency
+        self.sent[action.server].append((self.now, self.keys.get(action.request_id, "")))
+        attempt, status, delay = self.tries[action.request_id], self.answers(action.server), self.latency
         if action.server in self.silent:
             status = api.Status.TIMEOUT
         elif action.server in self.lost:
@@ -224,11 +224,11 @@
             self.dialled.add((number, action.server))
             status = api.Status.TIMEOUT if first else api.Status.CONNECT_FAILED
         if status is api.Status.TIMEOUT:
-            delay = max(0.0, self.due.get(action.request, self.now + TIME_LEFT) - self.now)
+            delay = max(0.0, self.due.get(action.request_id, self.now + TIME_LEFT) - self.now)
         elif status is api.Status.CONNECT_FAILED:
             delay = self.conf.dial_timeout
-        self.tries[action.request] += 1
-        outcome = api.Outcome(action.request, attempt, status, status is api.Status.OK, delay)
+        self.tries[action.request_id] += 1
+        outcome = api.Outcome(action.request_id, attempt, status, status is api.Status.OK, delay)
         self.later(delay, number, outcome)
 
     def end(self, name: str, how: str) -> None:
@@ -248,8 +248,8 @@
         while True:
             if self.pending and self.pending[0][0] <= min(at, until):
                 self.now, _, number, event = heapq.heappop(self.pending)
-                if isinstance(event, api.Outcome) and event.closed:
-                    self.end(event.request, "served")
+                if isinstance(event, api.Outcome) and event.request_done:
+                    self.end(event.request_id, "served")
                 self.feed(number, event)
             elif at <= until:
                 self.now, self.count = at, self.count + 1
--- a/fleetlab/module_costs.py
+++ b/fleetlab/module_costs.py
@@ -65,7 +65,7 @@
     """Its routers keep their times."""
 
     def make(self, number: int) -> Router:
-        return Timed(replace(self.conf, number=number), self.random.getrandbits(64), self.now)
+        return Timed(replace(self.conf, sibling_index=number), self.random.getrandbits(64), self.now)
 
 
 def told(experiment: Experiment) -> tuple[api.Settings, list[api.ServerEntry]]:
@@ -160,10 +160,10 @@
     now = 100.0
     for entry in caches[:: max(1, len(caches) // CHANGES)][:CHANGES]:
         now += 1.0
-        new = replace(entry, server=entry.server + "n", since=now)
+        new = replace(entry, server=entry.server + "n", started_at=now)
         for changed in (
-            replace(entry, state=api.State.DRAINING),
-            replace(entry, state=api.State.GONE),
+            replace(entry, state=api.ServerState.DRAINING),
+            replace(entry, state=api.ServerState.GONE),
             new,
             replace(new, weight=entry.weight * 0.9),
         ):
--- a/tests/driver.py
+++ b/tests/driver.py
@@ -9,9 +9,11 @@
 from brackenwalk.policy import Router
 
 READ = api.RequestClass("read", aim=1.0)
-KEYED = api.RequestClass("keyed", 1.0, api.Effect.KEYED, api.Group.ALL, window=1.5, worth=5.0)
-ONCE = api.RequestClass("once", 1.0, api.Effect.UNSAFE, worth=5.0)
-NEVER_RAN = {api.Status.FULL, api.Status.CONNECT_FAILED, api.Status.MOOT, api.Status.MISS}
+KEYED = api.RequestClass(
+    "keyed", 1.0, api.RetrySafety.KEYED, api.RepeatGroup.ALL, repeat_window=1.5, value=5.0
+)
+ONCE = api.RequestClass("once", 1.0, api.RetrySafety.UNSAFE, value=5.0)
+NEVER_RAN = {api.Status.BUSY, api.Status.CONNECT_FAILED, api.Status.UNSENT, api.Status.MISS}
 
 
 def settings(**changes: Any) -> api.Settings:
@@ -57,41 +59,43 @@
         if isinstance(action, api.SetTimer):
             assert 0 <= action.delay < 4260 and 1 <= len(action.token) <= 64
             self.timers.append((self.now + action.delay, action.token))
-        elif isinstance(action, api.Tell):
+        elif isinstance(action, api.Broadcast):
             assert 0 < len(action.content) <= 256
             self.told.append(action.content)
         elif isinstance(action, api.Cancel):
-            assert (action.request, action.attempt) in self.state, "cancels an attempt never made"
+            assert (action.request_id, action.attempt) in self.state, "cancels an attempt never made"
         elif isinstance(action, api.Send):
             self.check_send(action)
         elif isinstance(action, api.Refuse):
-            self.check_refusal(action.request)
-            self.finish(action.request, "refused")
+            self.check_refusal(action.request_id)
+            self.finish(action.request_id, "refused")
         elif isinstance(action, api.Fail):
-            self.finish(action.request, "failed")
+            self.finish(action.request_id, "failed")
 
     def check_send(self, action: api.Send) -> None:
-        name = action.request
+        name = action.request_id
         assert name in self.open, f"rule 1: sends for {name}, which is ended or unknown"
         target = self.listed.get(action.server)
-        assert target is not None and target.state is api.State.READY, "rule 3: sends to a drained server"
+        assert target is not None and target.state is api.ServerState.READY, (
+            "rule 3: sends to a drained server"
+        )
         kind = self.conf.classes[self.open[name].request_class]
         earlier = self.sends.setdefault(name, [])
         assert len(earlier) < self.conf.max_attempts, "more attempts than allowed"
         ran = [i for i in range(len(earlier)) if self.state[name, i] not in NEVER_RAN]
         outstanding = [i for i in ran if self.state[name, i] is None]
         assert self.conf.second_copies or not outstanding, "rule 2: two copies out at once"
-        if ran and kind.effect is not api.Effect.SAFE:
-            assert kind.effect is api.Effect.KEYED, "rule 2: an unsafe request sent again"
+        if ran and kind.retry_safety is not api.RetrySafety.SAFE:
+            assert kind.retry_safety is api.RetrySafety.KEYED, "rule 2: an unsafe request sent again"
             first = min(self.sent_at[name][i] for i in ran)
-            assert self.now <= first + kind.window, "rule 2: a keyed request sent after its window"
+            assert self.now <= first + kind.repeat_window, "rule 2: a keyed request sent after its window"
             for i in ran:
                 other = self.listed.get(earlier[i])
-                same = kind.group is api.Group.ALL or (
+                same = kind.repeat_group is api.RepeatGroup.ALL or (
                     other is not None
                     and (
                         other.zone == target.zone
-                        if kind.group is api.Group.ZONE
+                        if kind.repeat_group is api.RepeatGroup.ZONE
                         else other.cell == target.cell
                     )
                 )
@@ -106,8 +110,8 @@
         assert name in self.open, "rule 1: a second answer"
         kind = self.conf.classes[self.open[name].request_class]
         ran = [i for i in range(len(self.sends.get(name, []))) if self.state[name, i] not in NEVER_RAN]
-        if ran and kind.effect is not api.Effect.SAFE:
-            harmless = kind.effect is api.Effect.KEYED and kind.group is api.Group.ALL
+        if ran and kind.retry_safety is not api.RetrySafety.SAFE:
+            harmless = kind.retry_safety is api.RetrySafety.KEYED and kind.repeat_group is api.RepeatGroup.ALL
             assert harmless, "rule 2: a refusal of what may have run"
 
     def finish(self, name: str, how: str) -> None:
@@ -119,7 +123,7 @@
 
     def list(self, *entries: api.ServerEntry, kind: api.ListKind = api.ListKind.FULL) -> list[api.Action]:
         if kind in (api.ListKind.FULL, api.ListKind.SAVED):
-            gone = api.State.GONE
+            gone = api.ServerState.GONE
             self.listed = {s: replace(e, state=gone) for s, e in self.listed.items()}
         self.listed.update({e.server: e for e in entries})
         return self.feed(api.ServerList(kind, entries))
--- a/tests/test_demand.py
+++ b/tests/test_demand.py
@@ -68,7 +68,7 @@
     ],
 )
 def test_a_garbled_message_changes_nothing(message: bytes) -> None:
-    d = Driver(settings(peers=True))
+    d = Driver(settings(gossip=True))
     d.list(*SERVERS)
     assert d.feed(api.PeerMessage(message)) == []
     assert not d.router.demand.long.times and not d.router.demand.long.total
@@ -99,14 +99,14 @@
     """Where a request goes, and what peers are told meanwhile."""
     d.now += 0.01
     server = d.request(name, key=key)
-    told = [a.content for a in d.last if isinstance(a, api.Tell)]
+    told = [a.content for a in d.last if isinstance(a, api.Broadcast)]
     d.ok(name)
     return server, told
 
 
 def test_a_key_that_is_hot_at_all_routers_together_is_spread_by_each() -> None:
     """Each of forty routers had seen it a few times only, and all sent it to one small server."""
-    routers = [Driver(settings(peers=True, siblings=40), seed=i) for i in range(40)]
+    routers = [Driver(settings(gossip=True, siblings=40), seed=i) for i in range(40)]
     for d in routers:
         d.list(*SERVERS)
     messages = []
@@ -129,13 +129,13 @@
 
 def test_what_finds_no_place_in_a_message_is_told_in_the_next() -> None:
     """Of a zone of sixty that was lost peers heard of twenty-four; of a hundred hot keys of thirty."""
-    d = Driver(settings(peers=True))
+    d = Driver(settings(gossip=True))
     d.list(*(entry(f"s{i}") for i in range(60)))
     for n in range(300):
         d.request(f"k{n}", key=f"k{n % 100}", finish=True)
     for each in d.router.servers.values():
         d.router._found_ailing(each)
-    hears = Driver(settings(peers=True), seed=2)
+    hears = Driver(settings(gossip=True), seed=2)
     hears.list(*(entry(f"s{i}") for i in range(60)))
     for n in range(5):
         d.now += 1.0
@@ -150,7 +150,7 @@
 
 def test_no_name_is_hashed_for_a_message(monkeypatch: pytest.MonkeyPatch) -> None:
     """Each message of a peer that named a server cost a hash for every server of the list."""
-    d = Driver(settings(peers=True))
+    d = Driver(settings(gossip=True))
     d.list(*SERVERS)
     name = server(d, "s3").name
     monkeypatch.setattr(policy, "ring_hash", None)
@@ -159,10 +159,10 @@
 
 
 def test_nothing_is_told_where_routers_may_not_talk() -> None:
-    d = Driver(settings(peers=False))
+    d = Driver(settings(gossip=False))
     d.list(*SERVERS)
     assert not [t for n in range(200) for t in asked(d, f"r{n}", "k")[1]]
-    d = Driver(settings(peers=True))
+    d = Driver(settings(gossip=True))
     d.list(*SERVERS)
     assert [t for n in range(200) for t in asked(d, f"r{n}", "k")[1]]
 
@@ -170,7 +170,7 @@
 def test_routers_that_start_together_do_not_talk_in_step() -> None:
     times = []
     for seed in range(8):
-        d = Driver(settings(peers=True), seed=seed)
+        d = Driver(settings(gossip=True), seed=seed)
         d.list(*SERVERS)
         asked(d, "first", "k")
         times.append(round(d.router.telling.tell_at - d.now, 4))
@@ -180,7 +180,7 @@
 @pytest.mark.parametrize("how", ["silent", "failing"])
 def test_a_server_that_one_router_finds_dead_is_eased_by_all(how: str) -> None:
     """Each of forty lost a request a second to it, while the others had long known."""
-    knows, hears = (Driver(settings(peers=True, siblings=40), seed=s) for s in (1, 2))
+    knows, hears = (Driver(settings(gossip=True, siblings=40), seed=s) for s in (1, 2))
     for d in (knows, hears):
         d.list(*SERVERS)
     before = [hears.request(f"b{n}", key=f"k{n}", finish=True) for n in range(400)]
@@ -203,7 +203,7 @@
 
 def test_where_all_ail_alike_nothing_moves() -> None:
     """In an overload easing the crowded ones crowded the next, until all had been eased."""
-    d = Driver(settings(peers=True))
+    d = Driver(settings(gossip=True))
     d.list(*SERVERS)
     before = [asked(d, f"b{n}", f"k{n}")[0] for n in range(200)]
     for server in d.router.servers.values():
@@ -218,7 +218,7 @@
     siblings: int, least: float, most: float
 ) -> None:
     """Each of two hundred told every request to all others: five points of service in a hundred."""
-    d = Driver(settings(peers=True, siblings=siblings))
+    d = Driver(settings(gossip=True, siblings=siblings))
     d.list(*SERVERS)
     messages = 0
     for n in range(400):
@@ -261,8 +261,8 @@
 
 def test_a_cold_server_does_not_get_what_crowded_ones_leave_of_a_hot_key() -> None:
     """Behind two crowded servers the walk ended and fell back on the first, cold or not."""
-    cold = entry("cold", since=95.0)
-    d = Driver(settings(subscribe=True, ramp=23.0, cold_share=0.13, fall_multiple=3.0))
+    cold = entry("cold", started_at=95.0)
+    d = Driver(settings(subscribe=True, ramp=23.0, cold_share=0.13, overload_factor=3.0))
     d.list(*SERVERS, cold)
     key = next(
         k
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -14,7 +14,7 @@
 from tests.fleet import Fleet, zipf
 
 LOAD = 0.5  # of what warm servers can do, by the requests of clients
-CONF = settings(peers=True, cold_share=0.13, ramp=23.0, fall_multiple=3.0, fall_window=1.5)
+CONF = settings(gossip=True, cold_share=0.13, ramp=23.0, overload_factor=3.0, overload_window=1.5)
 
 
 def worst(fleet: Fleet, cold: list[api.ServerEntry], fair: float) -> float:
@@ -23,10 +23,10 @@
     for server in cold:
         times = [t for t, _ in fleet.sent[server.server]]
         for i, t in enumerate(times):
-            age = (t - server.since) / CONF.ramp
+            age = (t - server.started_at) / CONF.ramp
             able = fair / LOAD * (CONF.cold_share + (1 - CONF.cold_share) * age)
-            sent = bisect_left(times, t + CONF.fall_window) - i
-            most = max(most, sent / (CONF.fall_multiple * CONF.fall_window * able))
+            sent = bisect_left(times, t + CONF.overload_window) - i
+            most = max(most, sent / (CONF.overload_factor * CONF.overload_window * able))
     return most
 
 
@@ -48,7 +48,7 @@
         fleet.heard = self.heard
         keys = zipf(20 * self.servers)
         fleet.run(0.6, self.rate, keys)
-        new = [entry(f"new{i}", zone="abc"[i % 3], since=fleet.now - 0.3) for i in range(self.cold)]
+        new = [entry(f"new{i}", zone="abc"[i % 3], started_at=fleet.now - 0.3) for i in range(self.cold)]
         listed = old[: self.servers - self.cold] + new
         for number in range(self.routers):
             if number < self.killed * self.routers:
@@ -83,7 +83,7 @@
 def test_where_all_are_cold_what_they_do_not_bear_is_told_to_come_back() -> None:
     """With no warm server left all went to cold ones, eight times what they bear."""
     fleet = Fleet(replace(CONF, max_retry_after=2.0), 40, [entry("old")])
-    cold = [entry(f"new{i}", since=fleet.now) for i in range(20)]
+    cold = [entry(f"new{i}", started_at=fleet.now) for i in range(20)]
     for number in range(40):
         fleet.feed(number, api.ServerList(api.ListKind.FULL, tuple(cold)))
     fleet.run(1.6, 2000.0, zipf(400))
--- a/tests/test_grammar_resp.py
+++ b/tests/test_grammar_resp.py
@@ -66,7 +66,7 @@
     if said is None:
         return None
     word = said[1].split(b" ")[0]
-    return {b"BUSY": (Status.FULL, b""), b"ERR": (Status.ERROR, b"")}.get(word)
+    return {b"BUSY": (Status.BUSY, b""), b"ERR": (Status.ERROR, b"")}.get(word)
 
 
 def pieces(text: bytes, cuts: set[int]) -> list[bytes]:
--- a/tests/test_house.py
+++ b/tests/test_house.py
@@ -72,4 +72,4 @@
     names: dict[str, object] = {}
     exec(code.group(1), names)
     send = next(a for a in names["actions"] if isinstance(a, api.Send))  # type: ignore[attr-defined]
-    assert send.request == "r1" and send.server in ("cache-1", "cache-2")
+    assert send.request_id == "r1" and send.server in ("cache-1", "cache-2")
--- a/tests/test_lab_hollow.py
+++ b/tests/test_lab_hollow.py
@@ -24,7 +24,7 @@
 from tests.driver import entry, settings
 from tests.loopback import http, run
 
-CONF = settings(peers=True)
+CONF = settings(gossip=True)
 SERVERS = [entry(f"s{i}", zone="ab"[i % 2]) for i in range(6)]
 
 
@@ -80,7 +80,7 @@
     fleet.lose(["a"])
     at, _, _, event = fleet.pending[0]
     assert at == fleet.now + 1.0
-    assert isinstance(event, api.Outcome) and event.status is api.Status.TIMEOUT and not event.closed
+    assert isinstance(event, api.Outcome) and event.status is api.Status.TIMEOUT and not event.request_done
 
 
 def test_routers_that_vanished_are_asked_and_told_nothing() -> None:
@@ -94,7 +94,7 @@
 
 
 def test_shared_rings_are_those_of_each_router_alone() -> None:
-    drained = api.ServerList(api.ListKind.DELTA, (replace(SERVERS[2], state=api.State.DRAINING),))
+    drained = api.ServerList(api.ListKind.DELTA, (replace(SERVERS[2], state=api.ServerState.DRAINING),))
 
     def rings() -> list[tuple[list[int], list[str], list[float]]]:
         found = []
--- a/tests/test_lab_standins.py
+++ b/tests/test_lab_standins.py
@@ -229,7 +229,7 @@
             for watcher in watchers:
                 told = [await watcher.news.get() for _ in range(2)]
                 (back,), (changed,) = [n[1] for n in told if n is not None]
-                assert back.entry.since == pytest.approx((await stage.began) + 0.3, abs=0.01)
+                assert back.entry.started_at == pytest.approx((await stage.began) + 0.3, abs=0.01)
                 assert changed.entry.weight != 1.0
                 watcher.watch.close()
             # the whole list for a version that it doesn't know, nothing for the present one
@@ -391,7 +391,7 @@
             probe, last = b"GET /stats HTTP/1.1\r\nHost: x\r\n", b"Connection: close\r\n\r\n"
             assert (await talk(address, probe + b"\r\n" + probe + last)).count(b"HTTP/1.1 200") == 2
             rest = [await ask(OriginConnection, address) for _ in range(3)]
-            assert rest[-1] == (Status.FULL, b"")
+            assert rest[-1] == (Status.BUSY, b"")
             stage.begin()
 
     play(test)
@@ -540,4 +540,4 @@
     index, whole, members = read_list(
         {"index": 1, "snapshot": True, "endpoints": [entry_of(plan_of(), 1, 5, "terminated", 0.9)]}
     )
-    assert (index, whole, members[0].entry.state) == (1, True, api.State.GONE)
+    assert (index, whole, members[0].entry.state) == (1, True, api.ServerState.GONE)
--- a/tests/test_main.py
+++ b/tests/test_main.py
@@ -37,7 +37,7 @@
     assert (config.listen, config.discovery) == (("127.0.0.1", 6379), "127.0.0.1:8500")
     assert (config.seed, config.sockets, config.known_index) == (0x8C1F30D27A5BE964, 1024, 41)
     assert [m.entry.server for m in config.known] == ["s-1"]
-    assert config.settings.classes["pay"].window == 5.0
+    assert config.settings.classes["pay"].repeat_window == 5.0
     assert config.peer_listen is None
     ours, other, everyone = (f"127.0.0.1:{port}" for port in (1, 2, 3))
     talks: dict[str, Any] = {"peer_listen": ours, "peers": [ours, other], "peers_all": everyone}
--- a/tests/test_net_discovery.py
+++ b/tests/test_net_discovery.py
@@ -52,10 +52,10 @@
 def test_an_entry_is_read() -> None:
     index, whole, (member,) = read_list(orjson.loads(message(7, True, LINE)))
     assert (index, whole, member.address) == (7, True, "127.0.0.9:6379")
-    entry = api.ServerEntry("s-1", api.State.READY, "m2", "a", 3, 1.5, 1_790_000_000.25)
+    entry = api.ServerEntry("s-1", api.ServerState.READY, "m2", "a", 3, 1.5, 1_790_000_000.25)
     assert member.entry == entry  # named as at every router, since on the host's own clock
     _, _, (old,) = read_list(orjson.loads(message(7, True, {**LINE, "since_ms": 0})))
-    assert old.entry.since == 0
+    assert old.entry.started_at == 0
 
 
 @pytest.mark.parametrize(
@@ -83,7 +83,7 @@
             assert first == "GET /registry/instances?after=41&wait_ms=3000 HTTP/1.1"
             link.write(http("200 OK", message(43, False, {**LINE, "status": "terminating"})))
             kind, (member,) = await told.news.get() or pytest.fail()
-            assert kind is api.ListKind.DELTA and member.entry.state is api.State.DRAINING
+            assert kind is api.ListKind.DELTA and member.entry.state is api.ServerState.DRAINING
             first, link = await call(peer)
             assert "after=43&" in first
             link.write(http("200 OK", message(50, True, LINE)))
--- a/tests/test_net_host.py
+++ b/tests/test_net_host.py
@@ -608,10 +608,10 @@
                 await asyncio.sleep(0)
             known, other = router.host.members["a"], router.caches["b"].address
             changed = {
-                "drains": replace(known, entry=replace(known.entry, state=api.State.DRAINING)),
-                "is gone": replace(known, entry=replace(known.entry, state=api.State.GONE)),
+                "drains": replace(known, entry=replace(known.entry, state=api.ServerState.DRAINING)),
+                "is gone": replace(known, entry=replace(known.entry, state=api.ServerState.GONE)),
                 "has moved": replace(known, address=other),
-                "started again": replace(known, entry=replace(known.entry, since=1.0)),
+                "started again": replace(known, entry=replace(known.entry, started_at=1.0)),
             }[news]
             router.host.list_told(api.ListKind.DELTA, [changed, member("b", other)])
             second = await router.caches["b"].link() if news != "started again" else await router.cache()
@@ -682,7 +682,7 @@
                 if isinstance(event, api.Request):
                     return [api.Send("r1", "unheard-of"), api.Log("after"), api.Fail("r1")]
                 if isinstance(event, api.Outcome):
-                    assert event.status is api.Status.CONNECT_FAILED and event.closed
+                    assert event.status is api.Status.CONNECT_FAILED and event.request_done
                 return []
 
             monkeypatch.setattr(router.host.router, "handle", handle)
@@ -713,9 +713,9 @@
             client.write(read("r1") + command("PING"))
             assert error(await client.resp()) == "BUSY 250"
             assert await client.resp() == b"PONG"
-            ends = [(o.attempt, o.status, o.closed) for o in seen]
+            ends = [(o.attempt, o.status, o.request_done) for o in seen]
             # the first still dialled: it was never sent either, and there is nothing left to cancel
-            moot = api.Status.MOOT
+            moot = api.Status.UNSENT
             assert ends == [(1, moot, False), (0, moot, True), (2, moot, True)]
 
     run(scenario)
@@ -729,7 +729,7 @@
                 if isinstance(event, api.Request):
                     return [api.Send("r1", "a", 0.05)]
                 if isinstance(event, api.Outcome):
-                    assert event.status is api.Status.TIMEOUT and not event.closed
+                    assert event.status is api.Status.TIMEOUT and not event.request_done
                     return [api.Fail("r1")]
                 return []
 
--- a/tests/test_net_peers.py
+++ b/tests/test_net_peers.py
@@ -67,8 +67,8 @@
             assert router.host.router.demand.long.times == {5: 1}
             sent: list[bytes] = []
             router.host.tell = sent.append
-            router.host._carry_out(api.Tell(b"content"))
+            router.host._carry_out(api.Broadcast(b"content"))
             assert sent == [b"content"]
-            assert not SETTINGS.peers  # and by itself it tells nothing here
+            assert not SETTINGS.gossip  # and by itself it tells nothing here
 
     run(scenario)
--- a/tests/test_ring.py
+++ b/tests/test_ring.py
@@ -84,7 +84,7 @@
     one, other = Driver(settings(), seed=1), Driver(settings(), seed=2)
     one.list(*(entry(n) for n in "abcd"))
     other.list(*(entry(n) for n in "dx"))
-    other.list(entry("d", since=50.0), entry("x", state=api.State.DRAINING))
+    other.list(entry("d", started_at=50.0), entry("x", state=api.ServerState.DRAINING))
     other.list(*(entry(n) for n in "cbda"))
     assert primaries(one, "r") == primaries(other, "r")
 
@@ -105,7 +105,7 @@
     shares = []
     for age in (0.0, 5.0, 10.0):
         d = Driver(settings(ramp=10.0, cold_share=0.3))
-        d.list(*(entry(f"s{i}") for i in range(9)), entry("cold", since=d.now))
+        d.list(*(entry(f"s{i}") for i in range(9)), entry("cold", started_at=d.now))
         d.now += age
         shares.append(primaries(d, "r").count("cold") / 2000 * 10)
     assert shares == sorted(shares)
@@ -117,8 +117,8 @@
 
     Half as much again, below the multiple that fells them, is what they take while the warm are short.
     """
-    d = Driver(settings(ramp=1e9, cold_share=0.1, fall_multiple=3.0))
-    d.list(*(entry(f"s{i}") for i in range(8)), *(entry(f"cold{i}", since=d.now) for i in range(12)))
+    d = Driver(settings(ramp=1e9, cold_share=0.1, overload_factor=3.0))
+    d.list(*(entry(f"s{i}") for i in range(8)), *(entry(f"cold{i}", started_at=d.now) for i in range(12)))
     primaries(d, "a")
     d.now += 1.0
     sent = primaries(d, "b")
@@ -129,7 +129,7 @@
 def test_a_hot_key_is_shared_out_also_while_most_servers_are_cold() -> None:
     """Their full share was expected of cold servers, so no room was left anywhere, and the first took all."""
     d = Driver(settings(ramp=1e9, cold_share=0.1))
-    d.list(*(entry(f"s{i}") for i in range(8)), *(entry(f"cold{i}", since=d.now) for i in range(12)))
+    d.list(*(entry(f"s{i}") for i in range(8)), *(entry(f"cold{i}", started_at=d.now) for i in range(12)))
     sent = []
     for n in range(3000):
         d.now += 0.002
@@ -145,7 +145,7 @@
     d.list(*entries)
     before, last = d.router.ring.positions, d.router.ring.owners[-1]
     d.list(*entries)
-    d.list(entry("s3", since=0.0, cell=1), kind=api.ListKind.DELTA)
+    d.list(entry("s3", started_at=0.0, cell=1), kind=api.ListKind.DELTA)
     assert d.router.ring.positions is before
     d.list(entry("s30"), kind=api.ListKind.DELTA)
     assert len(d.router.ring.positions) == 31 * 128 and d.router.ring.positions is not before
@@ -178,7 +178,7 @@
 
 def test_draining_servers_hold_no_points() -> None:
     d = Driver(settings())
-    d.list(entry("a"), entry("b", state=api.State.DRAINING))
+    d.list(entry("a"), entry("b", state=api.ServerState.DRAINING))
     assert {d.request(f"r{n}", key=f"k{n}", finish=True) for n in range(50)} == {"a"}
 
 
@@ -211,7 +211,7 @@
     d.list(*(entry(f"s{i}", weight=2.0 if i % 2 else 1.0) for i in range(30)))
     first = d.request("first", key="hot", finish=True)
     since = d.now if cold else 0.0
-    d.list(*(entry(f"s{i}", since=since if f"s{i}" == first else 0.0) for i in range(30)))
+    d.list(*(entry(f"s{i}", started_at=since if f"s{i}" == first else 0.0) for i in range(30)))
     sent = []
     for n in range(2000):
         d.now += 0.002
@@ -225,7 +225,7 @@
 def test_a_cold_server_takes_no_spills() -> None:
     """In a burst, what crowded neighbours could not take pushed over a server just started."""
     d = Driver(settings())
-    d.list(*(entry(n) for n in "abc"), entry("d", since=d.now))
+    d.list(*(entry(n) for n in "abc"), entry("d", started_at=d.now))
     for n in range(300):
         for s in "abc":
             d.router.servers[s].limit = 0.0
@@ -249,7 +249,7 @@
 def test_a_cold_server_gets_less_while_answers_fail() -> None:
     """In an overload clients retried all that failed, and the multiple pushed over servers just started."""
     d = Driver(settings(cold_share=0.3, max_attempts=1))
-    d.list(*(entry(n) for n in "abc"), entry("d", since=d.now))
+    d.list(*(entry(n) for n in "abc"), entry("d", started_at=d.now))
     assert primaries(d, "a").count("d") > 80
     cold = d.router.servers["d"]
     assert d.router.shares.warm_share(cold) == pytest.approx(0.3)
@@ -264,7 +264,7 @@
     sent = []
     for seed in (1, 2):
         d = Driver(settings(ramp=1e9, cold_share=0.3), seed=seed)
-        d.list(*(entry(f"s{i}") for i in range(4)), entry("cold", since=d.now))
+        d.list(*(entry(f"s{i}") for i in range(4)), entry("cold", started_at=d.now))
         primaries(d, "a")  # to a router that knows nothing every key may be all there is
         sent.append(primaries(d, "b"))
         assert sent[-1] == primaries(d, "c") and sent[-1].count("cold") > 50
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -18,7 +18,7 @@
 from tests.driver import Driver, entry, settings
 
 MAY_HAVE_RUN = [api.Status.ERROR, api.Status.RESET, api.Status.TIMEOUT, api.Status.CANCELLED]
-NEVER_RAN = [api.Status.FULL, api.Status.CONNECT_FAILED, api.Status.MOOT]
+NEVER_RAN = [api.Status.BUSY, api.Status.CONNECT_FAILED, api.Status.UNSENT]
 ASIDE: dict[str, Any] = {"aside": True, "origin_kind": "origin"}
 
 
@@ -57,9 +57,9 @@
         assert late.end("r", api.Status.RESET) is None
 
 
-@pytest.mark.parametrize("group", [api.Group.ZONE, api.Group.CELL])
-def test_keyed_stays_within_its_group_and_is_then_failed(group: api.Group) -> None:
-    kind = api.RequestClass("keyed", 2.0, api.Effect.KEYED, group, window=1.5)
+@pytest.mark.parametrize("group", [api.RepeatGroup.ZONE, api.RepeatGroup.CELL])
+def test_keyed_stays_within_its_group_and_is_then_failed(group: api.RepeatGroup) -> None:
+    kind = api.RequestClass("keyed", 2.0, api.RetrySafety.KEYED, group, repeat_window=1.5)
     for key in map(str, range(20)):
         d = Driver(settings(classes={"keyed": kind}))
         d.list(*fleet("a", "b", "c", "d"))
@@ -130,8 +130,8 @@
         api.ClientGone("x"),
         api.TimerFired("wait:x"),
         api.TimerFired("odd"),
-        api.Streaming("x", 0),
-        api.ServerList(api.ListKind.DELTA, (entry("a", state=api.State.GONE),)),
+        api.ResponseStarted("x", 0),
+        api.ServerList(api.ListKind.DELTA, (entry("a", state=api.ServerState.GONE),)),
         api.ServerList(api.ListKind.FULL, ()),
     ):
         assert [a for a in d.feed(event) if not isinstance(a, api.SetTimer)] == []
@@ -142,7 +142,7 @@
     d = Driver(settings())
     d.list(*fleet("a", "b"))
     d.request("r")
-    d.feed(api.Streaming("r", 0))
+    d.feed(api.ResponseStarted("r", 0))
     d.feed(api.TimerFired("wait:r"))
     assert "r" in d.open and len(d.sends["r"]) == 1
 
@@ -183,7 +183,7 @@
     """
     turns = []
     for number in range(siblings):
-        d = Driver(settings(subscribe=True, siblings=siblings, number=number, ramp=23.0), seed=number)
+        d = Driver(settings(subscribe=True, siblings=siblings, sibling_index=number, ramp=23.0), seed=number)
         d.list(*fleet("a"), kind=api.ListKind.SAVED)
         (turn,) = (a for a in d.last if isinstance(a, api.SetTimer))
         turns.append(turn.delay)
@@ -197,7 +197,7 @@
     """All called in the instant of their SIGHUP; what they held of the list stays as it is."""
     pauses = []
     for number in range(200):
-        d = Driver(settings(subscribe=True, siblings=200, number=number), seed=number)
+        d = Driver(settings(subscribe=True, siblings=200, sibling_index=number), seed=number)
         d.list(*fleet("a"))
         (timer,) = d.feed(api.ServerList(api.ListKind.MOVED))
         assert isinstance(timer, api.SetTimer)
@@ -212,7 +212,7 @@
     """A second call after half a second came before discovery had worked through the first ones."""
     pauses = []
     for number in range(siblings):
-        d = Driver(settings(subscribe=True, siblings=siblings, number=number, ramp=23.0), seed=number)
+        d = Driver(settings(subscribe=True, siblings=siblings, sibling_index=number, ramp=23.0), seed=number)
         (timer, _) = d.feed(api.ServerList(api.ListKind.FAILED))
         assert isinstance(timer, api.SetTimer)
         pauses.append(timer.delay)
@@ -231,14 +231,14 @@
 @pytest.mark.parametrize("siblings", [1, 6, 230])
 def test_a_pushed_list_is_asked_for_again_well_within_the_grace(siblings: int) -> None:
     """What the agent has counts as told: a pause of half a ramp broke the rule on drains."""
-    conf = settings(siblings=siblings, drain_grace=0.5, fall_window=3.0, ramp=23.0)
+    conf = settings(siblings=siblings, drain_grace=0.5, overload_window=3.0, ramp=23.0)
     pauses = pauses_after_failures(conf, 20)
     assert pauses[0] <= calls.CALL and max(pauses) <= 0.25
 
 
 def test_few_routers_ask_again_before_silence_counts_as_told() -> None:
     """The window of cold servers said how long to wait: news came after it counted as told."""
-    conf = settings(subscribe=True, siblings=6, fall_window=3.0, ramp=60.0, must_ask_in=10.0)
+    conf = settings(subscribe=True, siblings=6, overload_window=3.0, ramp=60.0, max_list_age=10.0)
     pauses = pauses_after_failures(conf, 20)
     assert discovery.WATCH_WAIT + discovery.ANSWER_MARGIN + pauses[0] < 6.0
     assert max(pauses) <= 5.0
@@ -246,11 +246,11 @@
 
 def test_warming_server_gets_its_share_and_not_more() -> None:
     """A surge of a thousand requests in a second just after a start: not the full arcs."""
-    d = Driver(settings(ramp=10.0, cold_share=0.3, fall_multiple=2.0, fall_window=1.0))
+    d = Driver(settings(ramp=10.0, cold_share=0.3, overload_factor=2.0, overload_window=1.0))
     d.list(entry("a"), entry("b"), entry("c"))
     for n in range(4000):
         if n == 3000:
-            d.list(entry("a"), entry("b"), entry("c"), entry("d", since=d.now))
+            d.list(entry("a"), entry("b"), entry("c"), entry("d", started_at=d.now))
         d.now += 0.01 if n < 3000 else 0.001
         d.request(f"r{n}", key=f"k{n}", finish=True)
     cold = sum(s == ["d"] for s in d.sends.values())
@@ -259,7 +259,7 @@
 
 def test_warm_server_gets_all_its_arcs_again() -> None:
     d = Driver(settings(ramp=10.0, cold_share=0.3))
-    d.list(entry("a"), entry("b", since=d.now))
+    d.list(entry("a"), entry("b", started_at=d.now))
     d.now += 10.0
     sent = [d.request(f"r{n}", key=f"k{n}", finish=True) for n in range(400)]
     assert sent.count("b") > 120
@@ -279,7 +279,7 @@
                 time_left=data.draw(st.sampled_from([0.0, 0.01, 0.8, 2.0])),
                 key=data.draw(st.sampled_from([None, "k1", "k2", "k3"])),
                 write=data.draw(st.booleans()),
-                hint=data.draw(st.sampled_from([None, 0.0, 0.2])),
+                cost_hint=data.draw(st.sampled_from([None, 0.0, 0.2])),
             )
         elif move == "end" and outstanding:
             name, number = data.draw(st.sampled_from(outstanding))
@@ -296,10 +296,14 @@
     def random_list(self, data: st.DataObject) -> None:
         kind = data.draw(st.sampled_from(list(api.ListKind)))
         names = data.draw(st.lists(st.sampled_from("abcdo"), unique=True))
-        states = st.sampled_from([api.State.READY, api.State.READY, api.State.DRAINING, api.State.GONE])
+        states = st.sampled_from(
+            [api.ServerState.READY, api.ServerState.READY, api.ServerState.DRAINING, api.ServerState.GONE]
+        )
         since = st.sampled_from([0.0, self.now])
         rows = [
-            entry(n, state=data.draw(states), kind="origin" if n == "o" else "std", since=data.draw(since))
+            entry(
+                n, state=data.draw(states), kind="origin" if n == "o" else "std", started_at=data.draw(since)
+            )
             for n in names
         ]
         if kind in (api.ListKind.FAILED, api.ListKind.MOVED):  # they bring no entries
@@ -308,16 +312,16 @@
             self.list(*rows, kind=kind)
 
 
-def groups(group: api.Group) -> dict[str, api.RequestClass]:
-    keyed = api.RequestClass("keyed", 1.0, api.Effect.KEYED, group, window=0.5, worth=5.0)
-    once = api.RequestClass("once", 1.0, api.Effect.UNSAFE, worth=5.0)
+def groups(group: api.RepeatGroup) -> dict[str, api.RequestClass]:
+    keyed = api.RequestClass("keyed", 1.0, api.RetrySafety.KEYED, group, repeat_window=0.5, value=5.0)
+    once = api.RequestClass("once", 1.0, api.RetrySafety.UNSAFE, value=5.0)
     late = api.RequestClass("late", 0.5)
     return {c.name: c for c in (api.RequestClass("read", 1.0), keyed, once, late)}
 
 
 def drive(data: st.DataObject, make: type[Router] = Router) -> None:
     conf = settings(
-        classes=groups(data.draw(st.sampled_from(list(api.Group)))),
+        classes=groups(data.draw(st.sampled_from(list(api.RepeatGroup)))),
         second_copies=data.draw(st.booleans()),
         may_cancel=data.draw(st.booleans()),
         max_attempts=data.draw(st.sampled_from([1, 3, 6])),
@@ -406,7 +410,7 @@
     d.list(*fleet("a", "b", "c", "d"))
     d.router.retries = 0.0
     first = d.request("r", key="k")
-    assert d.end("r", api.Status.FULL) not in (None, first)
+    assert d.end("r", api.Status.BUSY) not in (None, first)
     d.router.retries = 0.0
     assert d.end("r", api.Status.RESET) is None
 
@@ -417,7 +421,7 @@
     d.list(*fleet("a", "b", "c", "d"))
     d.request("r", key="k")
     d.router.retries, d.router.shares.good = 0.0, 0.2
-    assert d.end("r", api.Status.FULL) is None and d.ended["r"] == "refused"
+    assert d.end("r", api.Status.BUSY) is None and d.ended["r"] == "refused"
 
 
 def missed(d: Driver, *names: str, key: str = "k") -> None:
@@ -560,7 +564,7 @@
     d.router.servers["a"].limit = 9.0
     for n in range(6):
         d.request(f"r{n}", key="k")
-    d.end("r5", api.Status.FULL)
+    d.end("r5", api.Status.BUSY)
     assert d.router.servers["a"].limit == 5.0
 
 
@@ -570,7 +574,7 @@
     d.list(*fleet("a"))
     d.router.servers["a"].limit = 1.0
     d.request("r1")
-    d.list(entry("a", since=d.now), kind=api.ListKind.DELTA)
+    d.list(entry("a", started_at=d.now), kind=api.ListKind.DELTA)
     assert d.router.servers["a"].limit == state.LIMIT_START
     d.ok("r1")
     assert d.router.servers["a"].load == 0
@@ -611,24 +615,24 @@
 
 def test_idle_connections_are_closed_when_they_cost_more_than_new_ones() -> None:
     """Hundreds of routers kept one open at every server, and four attempts in five found the table full."""
-    d = Driver(settings(siblings=500, connection_price=0.03, handshake_price=0.03))
+    d = Driver(settings(siblings=500, connection_cost=0.03, handshake_cost=0.03))
     d.list(*fleet("a", "b"))
     d.now += 10.0
     d.request("r0", finish=True)
     for n in range(40):
         d.request(f"r{n + 1}", key=f"k{n}", finish=True)
     d.wait(0.1)
-    assert isinstance(d.last[0], api.Close)
-    few = Driver(settings(siblings=1, connection_price=0.03, handshake_price=0.03))
+    assert isinstance(d.last[0], api.CloseIdle)
+    few = Driver(settings(siblings=1, connection_cost=0.03, handshake_cost=0.03))
     few.list(*fleet("a", "b"))
     few.request("r", finish=True)
-    assert not [a for a in few.last if isinstance(a, api.Close)]
+    assert not [a for a in few.last if isinstance(a, api.CloseIdle)]
 
 
 def test_servers_that_can_do_nothing_at_their_start_stop_no_router() -> None:
     """With a stated share of nothing and all servers just started there is nothing to share out."""
     d = Driver(settings(ramp=10.0, cold_share=0.0))
-    d.list(*(entry(n, since=d.now) for n in "abc"))
+    d.list(*(entry(n, started_at=d.now) for n in "abc"))
     assert [d.request(f"r{n}", key="k") for n in range(3)] == [None] * 3
     assert set(d.ended.values()) == {"refused"}
     d.now += 9.0
@@ -638,7 +642,7 @@
 
 def test_a_zone_that_is_back_counts_as_cold_until_the_list_can_have_told() -> None:
     """Routers whose list came late sent servers just started all that was theirs when warm."""
-    d = Driver(settings(ramp=23.0, cold_share=0.13, must_ask_in=10.0))
+    d = Driver(settings(ramp=23.0, cold_share=0.13, max_list_age=10.0))
     entries = [entry(f"s{i}", zone="abc"[i % 3]) for i in range(30)]
     d.list(*entries)
 
@@ -669,7 +673,7 @@
 
 def test_a_server_in_use_has_one_timer_for_its_idle_connections() -> None:
     """Each answer set one, and each set itself again: sixty thousand after as many requests."""
-    d = Driver(settings(siblings=4, connection_price=0.003, handshake_price=0.03, connection_idle=600.0))
+    d = Driver(settings(siblings=4, connection_cost=0.003, handshake_cost=0.03, idle_timeout=600.0))
     d.list(*fleet("a", "b"))
     for n in range(600):
         d.wait(0.05)
@@ -678,7 +682,7 @@
     closed: set[str] = set()
     while len(closed) < 2 and d.now < 200.0:
         d.wait(0.05)
-        closed |= {a.server for a in d.last if isinstance(a, api.Close)}
+        closed |= {a.server for a in d.last if isinstance(a, api.CloseIdle)}
     assert closed == {"a", "b"}
 
 
@@ -738,7 +742,7 @@
 
 def test_a_list_of_draining_servers_only_holds_requests_and_answers_them_in_time() -> None:
     d = Driver(settings())
-    d.list(entry("a", state=api.State.DRAINING), entry("b", weight=0.0, state=api.State.DRAINING))
+    d.list(entry("a", state=api.ServerState.DRAINING), entry("b", weight=0.0, state=api.ServerState.DRAINING))
     d.request("r")
     assert not d.sends
     d.wait(3.0)
@@ -797,7 +801,7 @@
     told = []
     for n in range(20):
         d.request(f"w{n + 1}", key="k1", write=True)
-        told += [a.come_back for a in d.last if isinstance(a, api.Refuse)]
+        told += [a.retry_after for a in d.last if isinstance(a, api.Refuse)]
     assert len(told) == 20 and all(least <= t <= most for t in told)
     assert len(set(told)) == (20 if longest else 1)
 
@@ -976,7 +980,7 @@
     first, _ = order_of(d, "k")
     for n in range(2 * policy.FAULTY):
         assert d.request(f"r{n}", key="k") == first
-        d.end(f"r{n}", api.Status.FULL)
+        d.end(f"r{n}", api.Status.BUSY)
         d.ok(f"r{n}")
 
 
@@ -1058,11 +1062,11 @@
 
 def test_requests_of_no_class_teach_nothing() -> None:
     """They are never sent: counted, they would push aside the keys that are, and be told to all peers."""
-    d = Driver(settings(peers=True, siblings=4))
+    d = Driver(settings(gossip=True, siblings=4))
     d.list(*fleet("a", "b"))
     for i in range(1000):
         d.now += 0.01
         request = api.Request(f"x{i}", "unheard-of", 1.0, key="flood")
-        assert d.router.handle(d.now, request) == [api.Refuse(request.request)]
+        assert d.router.handle(d.now, request) == [api.Refuse(request.request_id)]
     assert not d.router.held and d.router.taken == 0
     assert not d.router.demand.long.times and not d.router.demand.untold
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -12,7 +12,7 @@
 from brackenwalk.state import Server
 from tests.driver import Driver, entry, settings
 
-CONF = settings(peers=True, cold_share=0.2, ramp=10.0, must_ask_in=10.0)
+CONF = settings(gossip=True, cold_share=0.2, ramp=10.0, max_list_age=10.0)
 
 
 def everyone(shares: Shares) -> dict[str, float]:
@@ -74,9 +74,13 @@
             shares.zone_is_back(zone)
         elif what in ("drain", "start", "back"):
             since[number] = d.now if what == "start" else since[number]
-            state = api.State.DRAINING if what == "drain" else api.State.READY
+            state = api.ServerState.DRAINING if what == "drain" else api.ServerState.READY
             changed = entry(
-                f"s{number}", zone=zones[number], weight=1.0 + number % 3, since=since[number], state=state
+                f"s{number}",
+                zone=zones[number],
+                weight=1.0 + number % 3,
+                started_at=since[number],
+                state=state,
             )
             d.list(changed, kind=api.ListKind.DELTA)
         d.feed(api.TimerFired("the time"))
--- a/tests/test_terms_discovery.py
+++ b/tests/test_terms_discovery.py
@@ -46,7 +46,7 @@
         self.watches: dict[int, int] = {}  # each router's latest call, while it is on
         self.renewed: dict[int, float] = {}
         self.silent: set[int] = set()  # watches
-        conf = settings(subscribe=True, siblings=siblings, must_ask_in=10.0, drain_grace=GRACE)
+        conf = settings(subscribe=True, siblings=siblings, max_list_age=10.0, drain_grace=GRACE)
         self.routers = [Router(replace(conf, number=n), n, start) for n in range(siblings)]
         self.come_back()
         for n in range(siblings):
@@ -227,7 +227,7 @@
     siblings: int, must_ask_in: float
 ) -> None:
     """A site that asks its routers to ask rarely does not make news count later."""
-    conf = settings(subscribe=True, siblings=siblings, must_ask_in=must_ask_in, number=siblings - 1)
+    conf = settings(subscribe=True, siblings=siblings, max_list_age=must_ask_in, sibling_index=siblings - 1)
     router, now = Router(conf, 1, 100.0), 100.0
     (first,) = router.handle(now, api.ServerList(api.ListKind.SAVED, (entry("a"),)))
     assert isinstance(first, api.SetTimer) and first.delay <= min(5.0, must_ask_in / 2)
@@ -291,7 +291,7 @@
     assert first == WHOLE
     link.write(http("200 OK", message(8, True, LINE)))
     kind, (member,) = await told.news.get() or pytest.fail()
-    assert kind is api.ListKind.FULL and member.entry.state is api.State.READY
+    assert kind is api.ListKind.FULL and member.entry.state is api.ServerState.READY
     assert "after=8&wait_ms=3000" in (await call(peer))[0] and told.news.empty()
 
 
--- a/tests/test_wirehost.py
+++ b/tests/test_wirehost.py
@@ -82,16 +82,25 @@
 def test_settings_are_read() -> None:
     conf = read_settings(CONF)
     pay = conf.classes["pay"]
-    assert (pay.effect, pay.group, pay.window) == (api.Effect.KEYED, api.Group.ZONE, 5.0)
-    assert (conf.aside, conf.origin_kind, conf.subscribe, conf.tick) == (True, "store", True, 0.01)
+    assert (pay.retry_safety, pay.repeat_group, pay.repeat_window) == (
+        api.RetrySafety.KEYED,
+        api.RepeatGroup.ZONE,
+        5.0,
+    )
+    assert (conf.aside, conf.origin_kind, conf.subscribe, conf.timer_resolution) == (
+        True,
+        "store",
+        True,
+        0.01,
+    )
     assert (conf.max_attempts, conf.second_copies, conf.may_cancel) == (3, True, True)
-    assert (conf.cold_share, conf.ramp, conf.fall_multiple, conf.fall_window) == (0.2, 8.0, 3.0, 1.5)
+    assert (conf.cold_share, conf.ramp, conf.overload_factor, conf.overload_window) == (0.2, 8.0, 3.0, 1.5)
 
 
 def test_settings_defaults() -> None:
     conf = read_settings({"classes": [{"name": "x"}]})
     # what is not told is taken at its most careful: no repeats, no second copies, one attempt
-    assert conf.classes["x"].effect is api.Effect.UNSAFE
+    assert conf.classes["x"].retry_safety is api.RetrySafety.UNSAFE
     assert (conf.second_copies, conf.may_cancel, conf.max_attempts) == (False, False, 1)
 
 
@@ -179,7 +188,7 @@
 def test_actions_in_wire_form() -> None:
     send = wirehost.WRITERS[api.Send](api.Send("1", "a", 0.5))
     assert send == {"op": "Send", "ticket": "1", "server": "a", "timeout": 0.5}
-    assert wirehost.WRITERS[api.Close](api.Close("a")) == {"op": "LetGo", "server": "a"}
+    assert wirehost.WRITERS[api.CloseIdle](api.CloseIdle("a")) == {"op": "LetGo", "server": "a"}
     refuse = wirehost.WRITERS[api.Refuse]
     assert refuse(api.Refuse("1", 0.25)) == {"op": "Reject", "ticket": "1", "coolDown": 0.25}
     assert wirehost.WRITERS[api.Log](api.Log("x")) == {"op": "Record", "line": "x"}
