--- a/brackenwalk/interface.py
+++ b/brackenwalk/interface.py
@@ -97,7 +97,7 @@
     subscribe: bool = False  # changes of the list come only after asking
     second_copies: bool = False
     may_cancel: bool = False
-    gossip: bool = False  # routers may send each other messages
+    gossip_enabled: bool = False  # routers may send each other messages
     max_attempts: int = 1
     siblings: int = 1  # routers in all
     sibling_index: int = 0  # of this one among them
--- a/brackenwalk/net/host.py
+++ b/brackenwalk/net/host.py
@@ -108,7 +108,7 @@
         except Exception:
             # guards all other requests: events that wait behind this one are theirs
             log.exception("module fault on %s: report it with this trace", type(event).__name__)
-            return list(self.router.out)
+            return list(self.router.actions)
 
     def _carry_out_alone(self, action: api.Action) -> None:
         """Carry out an action so that a fault costs no other: the answer of another may come next."""
--- a/brackenwalk/policy.py
+++ b/brackenwalk/policy.py
@@ -16,7 +16,7 @@
 from brackenwalk.demand import HOT
 from brackenwalk.ring import Ring, ring_hash
 from brackenwalk.shares import CACHE_TARGET, EPSILON, Shares
-from brackenwalk.state import Attempt, Held, Server
+from brackenwalk.state import Attempt, PendingRequest, Server
 from brackenwalk.telling import Telling
 
 POINTS = 128  # virtual nodes of a server as large as the unit of weight: shares within a tenth or so
@@ -45,28 +45,32 @@
         self.settings = settings
         self.shortest_aim = settings.shortest_aim
         self.now, self.random = now, random.Random(seed)
-        self.out: list[api.Action] = []
+        self.actions: list[api.Action] = []
         self.servers: dict[str, Server] = {}
         self.named: dict[int, Server] = {}  # as peers name them
         self.ring: Ring[Server] = Ring()
         self.calls = Calls(settings, self.random, now)
-        self.telling = Telling(settings, self.random, now)
-        self.demand = self.telling.demand
+        self.gossip = Telling(settings, self.random, now)
+        self.demand = self.gossip.demand
         self.shares = Shares(settings, self.demand, now)
         self.sizes: dict[str, float] = {}  # the largest weight seen of a kind
-        self.held: dict[str, Held] = {}
+        self.pending: dict[str, PendingRequest] = {}
         self.attempts: dict[tuple[str, int], Attempt] = {}
-        self.queue: list[tuple[float, int, Held]] = []  # for the origin, or any server: worth, then age
-        self.queued = self.taken = 0
-        self.retries, self.keep = RETRIES_SAVED, KEEP
+        self.queue: list[
+            tuple[float, int, PendingRequest]
+        ] = []  # for the origin, or any server: worth, then age
+        self.queued = self.request_count = 0
+        self.retry_budget, self.keep_factor = RETRIES_SAVED, KEEP
         self.born = now
         self.end_at = math.inf  # by then all are answered
         self._build_ring()
-        self.wait = 0.0  # smoothed latency for each request held a unit of size, the one in hand included
+        self.wait_per_request = (
+            0.0  # smoothed latency for each request held a unit of size, the one in hand included
+        )
 
     def handle(self, now: float, event: api.Event) -> list[api.Action]:
         """Take one event and answer with actions, to be carried out in order."""
-        self.now, self.shares.now, self.out = now, now, []
+        self.now, self.shares.now, self.actions = now, now, []
         if isinstance(event, api.Outcome):
             self._on_outcome(event)
         elif isinstance(event, api.Request):
@@ -76,33 +80,33 @@
         elif isinstance(event, api.ServerList):
             self._on_list(event)
         elif isinstance(event, api.PeerMessage):
-            for name in self.telling.hear(event.content, now):
+            for name in self.gossip.hear(event.content, now):
                 if name in self.named:
                     self.shares.ease(self.named[name])
-                    self.telling.drop(self.named[name])
-        elif isinstance(event, api.ClientGone) and event.request_id in self.held:
-            self._forget(self.held[event.request_id])
-        elif isinstance(event, api.ResponseStarted) and event.request_id in self.held:
-            self.held[event.request_id].streaming = True
+                    self.gossip.drop(self.named[name])
+        elif isinstance(event, api.ClientGone) and event.request_id in self.pending:
+            self._forget(self.pending[event.request_id])
+        elif isinstance(event, api.ResponseStarted) and event.request_id in self.pending:
+            self.pending[event.request_id].response_started = True
         elif isinstance(event, api.Shutdown):
             self._on_ending(event)
-        return self.out
+        return self.actions
 
     def _on_ending(self, event: api.Shutdown) -> None:
         """Wait for nothing that would come after the end."""
         self.end_at = self.now + event.time_left - self.settings.timer_resolution
-        for held in self.held.values():
-            held.until = min(held.until, self.end_at)
-            if held.waiting:
-                self._wake_in_time(held)
+        for pending in self.pending.values():
+            pending.deadline = min(pending.deadline, self.end_at)
+            if pending.waiting:
+                self._wake_in_time(pending)
 
     def _on_list(self, event: api.ServerList) -> None:
         if event.kind is api.ListKind.FAILED:
-            self.out.append(api.SetTimer(self.calls.failed(self.now), "list"))
-            self.out.append(api.Log(f"list out of reach, {self.calls.failures} in a row"))
+            self.actions.append(api.SetTimer(self.calls.failed(self.now), "list"))
+            self.actions.append(api.Log(f"list out of reach, {self.calls.failures} in a row"))
             return
         if event.kind is api.ListKind.MOVED:
-            self.out.append(api.SetTimer(self.calls.moved(), "list"))
+            self.actions.append(api.SetTimer(self.calls.moved(), "list"))
             return
         if event.kind is not api.ListKind.DELTA:
             for i in self.servers.keys() - {e.server for e in event.entries}:
@@ -126,78 +130,84 @@
             self.calls.listed(self.now)
         elif self.settings.subscribe:
             # guards against asking in step: a call that waits too long fails, and is still worked through
-            self.out.append(api.SetTimer(self.calls.until_turn(self.now), "list"))
+            self.actions.append(api.SetTimer(self.calls.until_turn(self.now), "list"))
         queue, self.queue = sorted(self.queue), []
-        for held in (q[2] for q in queue if q[2].waiting):
-            held.waiting = False
-            self._advance(held)
+        for pending in (q[2] for q in queue if q[2].waiting):
+            pending.waiting = False
+            self._advance(pending)
 
     def _drop(self, name: str) -> None:
         if name in self.servers:
             server = self.servers.pop(name)
             self.ring.place(server, name, 0)
-            self.named.pop(server.name, None)
-            self.telling.drop(server)
+            self.named.pop(server.name_hash, None)
+            self.gossip.drop(server)
 
     def _build_ring(self) -> None:
         """Points follow the size of a server alone, so that others coming or going move none of them."""
-        caches = self.caches = [s for s in self.servers.values() if s.cache and s.entry.ready]
-        self.origins = [s for s in self.servers.values() if not s.cache and s.entry.ready]
+        caches = self.caches = [s for s in self.servers.values() if s.is_cache and s.entry.ready]
+        self.origins = [s for s in self.servers.values() if not s.is_cache and s.entry.ready]
         self.shares.take(caches)
         for s in caches:
-            s.size = s.entry.weight
+            s.ring_weight = s.entry.weight
             if self.settings.live_weights:
                 # live weights fall with load and come late: on the ring they moved keys with every list
-                s.size = self.sizes[s.entry.kind] = max(self.sizes.get(s.entry.kind, 0.0), s.size)
-                s.reported = s.size / s.entry.weight - 1 if s.entry.weight else 0.0
-        largest = max((s.size for s in caches), default=0.0) or 1.0  # and what a missing weight counts as
+                s.ring_weight = self.sizes[s.entry.kind] = max(
+                    self.sizes.get(s.entry.kind, 0.0), s.ring_weight
+                )
+                s.reported_load = s.ring_weight / s.entry.weight - 1 if s.entry.weight else 0.0
+        largest = (
+            max((s.ring_weight for s in caches), default=0.0) or 1.0
+        )  # and what a missing weight counts as
         unit = 2.0 ** math.ceil(math.log2(largest))  # rarely changes with the fleet
         for s in self.servers.values():
-            s.size = s.size or largest
+            s.ring_weight = s.ring_weight or largest
             self.ring.place(
-                s, s.entry.server, math.ceil(POINTS * s.size / unit) if s.cache and s.entry.ready else 0
+                s,
+                s.entry.server,
+                math.ceil(POINTS * s.ring_weight / unit) if s.is_cache and s.entry.ready else 0,
             )
         self.ring.settle()
-        self.shares.total_size = sum(s.size for s in caches)
-        self.mean_reported = sum(s.reported for s in caches) / max(1, len(caches))
+        self.shares.total_size = sum(s.ring_weight for s in caches)
+        self.mean_reported = sum(s.reported_load for s in caches) / max(1, len(caches))
 
     def _origin(self) -> Server | None:
         """The least loaded origin member that may be sent to."""
-        return min(self.origins, key=lambda s: s.load, default=None)
+        return min(self.origins, key=lambda s: s.in_flight, default=None)
 
-    def _choose(self, held: Held) -> Server | None:
+    def _choose(self, pending: PendingRequest) -> Server | None:
         """The bounded walk: a key's load flows clockwise, and each server keeps (1 + epsilon) fair shares."""
-        portions = self.shares.portions.get(held.position >> 32, {})
+        portions = self.shares.portions.get(pending.ring_position >> 32, {})
         planned = sum(portions.values())
         flow = self.random.random() * planned
         cap = (1 + EPSILON) * max(1.0, self.mean_reported)  # passed by chance: all read the same late report
         crowded = 0
         best = None
-        for server in self._clockwise(held.position):
-            if self._eligible(held, server):
+        for server in self._clockwise(pending.ring_position):
+            if self._eligible(pending, server):
                 portion = portions.get(server, 0.0)
                 flow -= portion
                 takes = not self.shares.cold(server) or self._takes(
-                    held, server, portion / planned if portion else 1.0
+                    pending, server, portion / planned if portion else 1.0
                 )
-                if flow <= 0 and takes and server.reported * self.random.random() <= cap:
+                if flow <= 0 and takes and server.reported_load * self.random.random() <= cap:
                     return server
                 best = best or (None if self.shares.cold(server) else server)
-            elif server.load >= server.limit and server not in portions and not self._silent(server):
+            elif server.in_flight >= server.limit and server not in portions and not self._silent(server):
                 crowded += 1
                 if crowded >= SPILL:
                     break
         return best  # all over the cap: then it is as good as any, and likelier to have the key
 
-    def _takes(self, held: Held, server: Server, planned: float) -> bool:
+    def _takes(self, pending: PendingRequest, server: Server, planned: float) -> bool:
         """Whether a cold server takes this of its part: no retries, nor what others have no place for."""
-        key = held.position >> 32
+        key = pending.ring_position >> 32
         part = self.shares.bears(key, server) / planned  # of the part that it is planned to get
         # guards the origin: split by chance, each small key would be fetched for two servers
-        small = self.demand.share(key) < HOT * server.size / self.shares.total_size
-        draw = (held.position & 0xFFFFFFFF) / 2**32 if small else self.random.random()
-        held.spared = bool(held.attempts) or draw >= part
-        return not held.spared
+        small = self.demand.share(key) < HOT * server.ring_weight / self.shares.total_size
+        draw = (pending.ring_position & 0xFFFFFFFF) / 2**32 if small else self.random.random()
+        pending.skipped_cold = bool(pending.attempts) or draw >= part
+        return not pending.skipped_cold
 
     def _clockwise(self, position: int) -> Iterator[Server]:
         """Each server once, in the order that a walk meets it."""
@@ -209,68 +219,73 @@
             passed.add(server)
             yield server
 
-    def _too_late(self, held: Held, server: Server) -> bool:
+    def _too_late(self, pending: PendingRequest, server: Server) -> bool:
         """Refuses by chance what would wait too long. Guards against rooms so full that all is late."""
-        crowd = server.reported / QUEUE if self.settings.live_weights else 1.0  # told, or seen in own waits
-        return self.random.random() * self.wait * crowd > held.until - self.now
+        crowd = (
+            server.reported_load / QUEUE if self.settings.live_weights else 1.0
+        )  # told, or seen in own waits
+        return self.random.random() * self.wait_per_request * crowd > pending.deadline - self.now
 
-    def _eligible(self, held: Held, server: Server) -> bool:
+    def _eligible(self, pending: PendingRequest, server: Server) -> bool:
         """Whether a server may take the request now."""
-        silent = server.load and self._silent(server)
+        silent = server.in_flight and self._silent(server)
         if silent:
             self._found_ailing(server)
-        full = server.load >= server.limit or silent
-        tried = any(a.server is server for a in held.attempts)
-        faulty = server.wrong >= FAULTY and self.now - server.used_at < SILENCE * self.shortest_aim
-        return not (full or tried or faulty or self._cut_off(server)) and self._permits(held, server)
+        full = server.in_flight >= server.limit or silent
+        tried = any(a.server is server for a in pending.attempts)
+        faulty = (
+            server.consecutive_failures >= FAULTY
+            and self.now - server.last_used_at < SILENCE * self.shortest_aim
+        )
+        return not (full or tried or faulty or self._cut_off(server)) and self._permits(pending, server)
 
     def _cut_off(self, server: Server) -> bool:
         """Whether the server's zone gives no sign of life; then one trial every SILENCE, as with a server."""
         zone = self.shares.zones.get(server.entry.zone) if len(self.shares.zones) > 1 else None
-        if zone is None or zone.unheard < FAULTY:
+        if zone is None or zone.unanswered < FAULTY:
             return False
-        return self.now - zone.tried_at < SILENCE * self.shortest_aim
+        return self.now - zone.last_send_at < SILENCE * self.shortest_aim
 
     def _unheard(self, attempt: Attempt) -> None:
         """Count an attempt that came to nothing while its whole zone said nothing."""
-        zone = self.shares.zones.get(attempt.server.entry.zone) if attempt.server.cache else None
-        if zone is not None and zone.heard_at < attempt.sent_at and not attempt.unheard:
-            attempt.unheard = True
-            zone.unheard += 1
+        zone = self.shares.zones.get(attempt.server.entry.zone) if attempt.server.is_cache else None
+        if zone is not None and zone.last_answer_at < attempt.sent_at and not attempt.counted_unanswered:
+            attempt.counted_unanswered = True
+            zone.unanswered += 1
 
     def _found_ailing(self, server: Server) -> None:
         if self.shares.ease(server):
-            self.telling.found(server)
+            self.gossip.found(server)
 
     def _silent(self, server: Server) -> bool:
         """Whether a server owes us an answer and has given none, to anything, for too long."""
-        return self.now - server.quiet_since > SILENCE * self.shortest_aim
+        return self.now - server.unanswered_since > SILENCE * self.shortest_aim
 
     def _on_request(self, request: api.Request) -> None:
         kind = self.settings.classes.get(request.request_class)
         if kind is None:  # counted as demand, what is never sent would push aside what is
-            self.out.append(api.Refuse(request.request_id))
+            self.actions.append(api.Refuse(request.request_id))
             return
         until = min(self.end_at, self.now + min(request.time_left - self.settings.timer_resolution, kind.aim))
         position = ring_hash(request.request_id if request.key is None else request.key)[0]
         to_origin = self.settings.aside and request.write
-        held = self.held[request.request_id] = Held(request, kind, until, to_origin, position)
-        self.taken += 1
-        if not held.to_origin:
-            self.demand.add(held.position >> 32)
-        if self.caches and self.telling.due(self.now):
+        pending = self.pending[request.request_id] = PendingRequest(request, kind, until, to_origin, position)
+        self.request_count += 1
+        if not pending.to_origin:
+            self.demand.add(pending.ring_position >> 32)
+        if self.caches and self.gossip.due(self.now):
             self.shares.plan(self._clockwise, self.ring.first)
-            if message := self.telling.message(self.now):
-                self.out.append(api.Broadcast(message))
-        self.retries = min(RETRIES_SAVED, self.retries + RETRY_SHARE)
-        self._advance(held)
+            if message := self.gossip.message(self.now):
+                self.actions.append(api.Broadcast(message))
+        self.retry_budget = min(RETRIES_SAVED, self.retry_budget + RETRY_SHARE)
+        self._advance(pending)
 
-    def _permits(self, held: Held, server: Server | None) -> bool:
+    def _permits(self, pending: PendingRequest, server: Server | None) -> bool:
         """What the class still permits: another send to this server or, with None, a refusal."""
-        kind = held.request_class
-        ran = [a for a in held.attempts if a.may_have_run]
-        waits = held.open_attempts() and not self.settings.second_copies
-        if server is not None and (waits or len(held.attempts) >= self.settings.max_attempts):
+        kind = pending.request_class
+        ran = [a for a in pending.attempts if a.may_have_run]
+        waits = pending.open_attempts() and not self.settings.second_copies
+        if server is not None and (waits or len(pending.attempts) >= self.settings.max_attempts):
             return False
         if kind.retry_safety is api.RetrySafety.SAFE or not ran:
             return True
@@ -280,107 +295,117 @@
         in_window = self.now + self.settings.dial_timeout < min(a.sent_at for a in ran) + kind.repeat_window
         return in_window and all(kind.repeat_group.shared_by(a.server.entry, server.entry) for a in ran)
 
-    def _advance(self, held: Held) -> None:
+    def _advance(self, pending: PendingRequest) -> None:
         """Send the next attempt, hold the request for one, or end it."""
-        to_ring = self.caches and not held.to_origin
-        server = self._choose(held) if to_ring else self._origin()
-        if self.now >= held.until or (server is None or not self._permits(held, server)) and held.attempts:
-            self._end(held)
+        to_ring = self.caches and not pending.to_origin
+        server = self._choose(pending) if to_ring else self._origin()
+        if (
+            self.now >= pending.deadline
+            or (server is None or not self._permits(pending, server))
+            and pending.attempts
+        ):
+            self._end(pending)
         elif not to_ring:
-            self._enqueue(held)
-        elif server is None or self._too_late(held, server):
-            self._end(held)
+            self._enqueue(pending)
+        elif server is None or self._too_late(pending, server):
+            self._end(pending)
         else:
-            self._send(held, server)
+            self._send(pending, server)
 
-    def _send(self, held: Held, server: Server) -> None:
-        target = (CACHE_TARGET if server.cache else ORIGIN_TARGET) * held.request_class.aim
-        attempt = self.attempts[held.request.request_id, len(held.attempts)] = Attempt(
+    def _send(self, pending: PendingRequest, server: Server) -> None:
+        target = (CACHE_TARGET if server.is_cache else ORIGIN_TARGET) * pending.request_class.aim
+        attempt = self.attempts[pending.request.request_id, len(pending.attempts)] = Attempt(
             server, target, self.now
         )
-        held.attempts.append(attempt)
-        server.load += 1
-        server.quiet_since = min(server.quiet_since, self.now)
-        if server.cache and (zone := self.shares.zones.get(server.entry.zone)) is not None:
-            zone.tried_at = self.now
-        self.out.append(api.Send(held.request.request_id, server.entry.server))
-        self._look_again(held, attempt)
-
-    def _look_again(self, held: Held, last: Attempt) -> None:
+        pending.attempts.append(attempt)
+        server.in_flight += 1
+        server.unanswered_since = min(server.unanswered_since, self.now)
+        if server.is_cache and (zone := self.shares.zones.get(server.entry.zone)) is not None:
+            zone.last_send_at = self.now
+        self.actions.append(api.Send(pending.request.request_id, server.entry.server))
+        self._look_again(pending, attempt)
+
+    def _look_again(self, pending: PendingRequest, last: Attempt) -> None:
         """Come back to an attempt when it has taken far longer than usual."""
-        last.late_at = self.now + max(last.target, LOST * last.server.latency)
-        if self.settings.second_copies and last.late_at < held.until:
-            self.out.append(api.SetTimer(last.late_at - self.now, "late:" + held.request.request_id))
+        last.copy_due_at = self.now + max(last.target_latency, LOST * last.server.latency)
+        if self.settings.second_copies and last.copy_due_at < pending.deadline:
+            self.actions.append(
+                api.SetTimer(last.copy_due_at - self.now, "late:" + pending.request.request_id)
+            )
 
-    def _copy(self, held: Held, last: Attempt) -> None:
+    def _copy(self, pending: PendingRequest, last: Attempt) -> None:
         """A second copy of what got lost on its way: far past the usual time, and later ones are answered."""
-        late = last.open and self.now >= last.late_at - self.settings.timer_resolution / 2
+        late = last.open and self.now >= last.copy_due_at - self.settings.timer_resolution / 2
         if late:
             self._unheard(last)
-        slow = last.server.heard <= last.sent_at and not self._cut_off(last.server)
+        slow = last.server.last_answered_send <= last.sent_at and not self._cut_off(last.server)
         if late and slow:  # guards against feeding what is slow, not lost
-            self._look_again(held, last)
-        elif late and self.retries >= 1:
-            server = self._choose(held) if last.server.cache else self._origin()
-            if server is not None and server.load < server.limit and self._permits(held, server):
-                self.retries -= 1
-                self._send(held, server)
+            self._look_again(pending, last)
+        elif late and self.retry_budget >= 1:
+            server = self._choose(pending) if last.server.is_cache else self._origin()
+            if server is not None and server.in_flight < server.limit and self._permits(pending, server):
+                self.retry_budget -= 1
+                self._send(pending, server)
 
     def _on_timer(self, event: api.TimerFired) -> None:
         what, _, name = event.token.partition(":")
         if what == "list":
             self.calls.asked(self.now)
-            self.out.append(api.Subscribe())
+            self.actions.append(api.Subscribe())
         elif what == "idle" and (idle := self.servers.get(name)) is not None:
-            idle.look_at = (
-                idle.look_at if self.now < idle.look_at - self.settings.timer_resolution else math.inf
+            idle.idle_check_at = (
+                idle.idle_check_at
+                if self.now < idle.idle_check_at - self.settings.timer_resolution
+                else math.inf
             )
             self._close_idle(idle)
-        held = self.held.get(name)
-        if held is not None and held.waiting:
+        pending = self.pending.get(name)
+        if pending is not None and pending.waiting:
             # half a tick of grace: rounding may wake us a hair before
-            late = self.now >= self._latest_start(held, self._origin()) - self.settings.timer_resolution / 2
-            (self._end if late else self._wake_in_time)(held)
-        elif held is not None and what == "late" and not held.streaming:
-            self._copy(held, held.attempts[-1])
+            late = (
+                self.now >= self._latest_start(pending, self._origin()) - self.settings.timer_resolution / 2
+            )
+            (self._end if late else self._wake_in_time)(pending)
+        elif pending is not None and what == "late" and not pending.response_started:
+            self._copy(pending, pending.attempts[-1])
 
     def _close_idle(self, server: Server) -> None:
         """Guards against full tables: an idle connection goes once its price has passed a new one's."""
         price = self.settings.connection_cost
-        if server.load or not price:
+        if server.in_flight or not price:
             return
-        rate = self.taken / max(self.now - self.born, self.shortest_aim) * self.settings.siblings
-        keep = self.keep * self.settings.handshake_cost / price * 100 * len(self.caches) / rate
-        left = server.used_at + keep - self.now
+        rate = self.request_count / max(self.now - self.born, self.shortest_aim) * self.settings.siblings
+        keep = self.keep_factor * self.settings.handshake_cost / price * 100 * len(self.caches) / rate
+        left = server.last_used_at + keep - self.now
         if left < self.settings.timer_resolution:
-            self.out.append(api.CloseIdle(server.entry.server))
-        elif left < min(self.settings.idle_timeout, (server.look_at - self.now) / 2):
+            self.actions.append(api.CloseIdle(server.entry.server))
+        elif left < min(self.settings.idle_timeout, (server.idle_check_at - self.now) / 2):
             # guards memory: a timer that is out will look again, unless it comes far too late
-            server.look_at = self.now + left
-            self.out.append(api.SetTimer(left, "idle:" + server.entry.server))
+            server.idle_check_at = self.now + left
+            self.actions.append(api.SetTimer(left, "idle:" + server.entry.server))
 
-    def _end(self, held: Held) -> None:
+    def _end(self, pending: PendingRequest) -> None:
         """The final answer: a refusal where the class permits one, else a failure."""
-        held.waiting = False
-        if held.streaming or held.open_attempts():
+        pending.waiting = False
+        if pending.response_started or pending.open_attempts():
             return
-        name, origin = held.request.request_id, self._origin() if held.to_origin else None
+        name, origin = pending.request.request_id, self._origin() if pending.to_origin else None
         # by then what stood in its way is over; guards against all that were refused coming back at once
-        usual = 2 * (origin.latency if origin else self.wait)
+        usual = 2 * (origin.latency if origin else self.wait_per_request)
         if (
-            held.spared and not held.attempts
+            pending.skipped_cold and not pending.attempts
         ):  # no warm one took it, and what cold ones bear counts by the window
             usual = max(usual, self.settings.overload_window)
         come_back = min(self.settings.max_retry_after, usual) * self.random.uniform(0.5, 1.0)
-        self.out.append(api.Refuse(name, come_back) if self._permits(held, None) else api.Fail(name))
-        self._forget(held)
+        self.actions.append(api.Refuse(name, come_back) if self._permits(pending, None) else api.Fail(name))
+        self._forget(pending)
 
-    def _forget(self, held: Held) -> None:
-        held.waiting = False
-        del self.held[held.request.request_id]
+    def _forget(self, pending: PendingRequest) -> None:
+        pending.waiting = False
+        del self.pending[pending.request.request_id]
         if self.settings.may_cancel:
-            self.out += [
-                api.Cancel(held.request.request_id, i) for i, a in enumerate(held.attempts) if a.open
+            self.actions += [
+                api.Cancel(pending.request.request_id, i) for i, a in enumerate(pending.attempts) if a.open
             ]
 
     def _on_outcome(self, event: api.Outcome) -> None:
@@ -389,83 +414,89 @@
             return
         attempt.open = False
         attempt.may_have_run = event.status not in api.NEVER_RAN
-        attempt.server.load -= 1
+        attempt.server.in_flight -= 1
         told = event.status not in UNHEARD
         if told:
-            attempt.server.quiet_since = math.inf
+            attempt.server.unanswered_since = math.inf
         # what was sent before an attempt that has been answered got lost, and says nothing of its server
-        told |= event.status is api.Status.TIMEOUT and attempt.server.heard <= attempt.sent_at
-        attempt.server.used_at = self.now
+        told |= event.status is api.Status.TIMEOUT and attempt.server.last_answered_send <= attempt.sent_at
+        attempt.server.last_used_at = self.now
         lost = event.status is api.Status.CONNECT_FAILED
         if lost:
             self._unheard(attempt)
         elif event.status not in UNHEARD and event.status is not api.Status.RESET:
             zone = self.shares.zones.get(attempt.server.entry.zone)
-            if zone is not None and attempt.server.cache:
-                if zone.unheard >= FAULTY and len(self.shares.zones) > 1:
+            if zone is not None and attempt.server.is_cache:
+                if zone.unanswered >= FAULTY and len(self.shares.zones) > 1:
                     self.shares.zone_is_back(zone)
-                zone.heard_at, zone.unheard = self.now, 0
-        self.keep = self.keep / 2 if lost else self.keep + KEEP_GAIN * (KEEP - self.keep)
+                zone.last_answer_at, zone.unanswered = self.now, 0
+        self.keep_factor = (
+            self.keep_factor / 2 if lost else self.keep_factor + KEEP_GAIN * (KEEP - self.keep_factor)
+        )
         self._close_idle(attempt.server)
         if told:
             self._learn_limit(attempt, event)
-        held = self.held.get(event.request_id)
-        if held is not None:
-            missed = event.status is api.Status.MISS and not held.to_origin  # whatever copies are out
+        pending = self.pending.get(event.request_id)
+        if pending is not None:
+            missed = event.status is api.Status.MISS and not pending.to_origin  # whatever copies are out
             if event.request_done or event.status is api.Status.OK:
-                self._forget(held)
-            elif not held.waiting and (missed or not held.open_attempts()):
-                self._after_failure(held, event)
-        if not attempt.server.cache:
+                self._forget(pending)
+            elif not pending.waiting and (missed or not pending.open_attempts()):
+                self._after_failure(pending, event)
+        if not attempt.server.is_cache:
             self._serve_queue()
 
-    def _after_failure(self, held: Held, event: api.Outcome) -> None:
+    def _after_failure(self, pending: PendingRequest, event: api.Outcome) -> None:
         """The origin is next after a miss; after anything else a retry, while the budget lasts."""
         if event.status is api.Status.MISS and self.settings.aside:
-            held.to_origin = True
+            pending.to_origin = True
         elif event.status is api.Status.ERROR and not self.settings.aside:
-            held.until = self.now  # guards against a failing origin: each server tried fetches the key again
-        elif not held.to_origin and (event.status is not api.Status.BUSY or self.shares.good < ROOM):
+            pending.deadline = (
+                self.now
+            )  # guards against a failing origin: each server tried fetches the key again
+        elif not pending.to_origin and (event.status is not api.Status.BUSY or self.shares.good < ROOM):
             # guards against feeding an overload: full servers made every request into a dozen attempts
-            held.until = held.until if self.retries >= 1 else self.now
-            self.retries = max(0.0, self.retries - 1)
-        self._advance(held)
+            pending.deadline = pending.deadline if self.retry_budget >= 1 else self.now
+            self.retry_budget = max(0.0, self.retry_budget - 1)
+        self._advance(pending)
 
-    def _enqueue(self, held: Held) -> None:
+    def _enqueue(self, pending: PendingRequest) -> None:
         """Wait for a place at the origin, or any: worth first, or writes wait behind misses; then age."""
-        held.waiting = True
-        self._wake_in_time(held)
+        pending.waiting = True
+        self._wake_in_time(pending)
         self.queued += 1
-        heapq.heappush(self.queue, (-held.request_class.value, self.queued, held))
+        heapq.heappush(self.queue, (-pending.request_class.value, self.queued, pending))
         self._serve_queue()
 
-    def _wake_in_time(self, held: Held) -> None:
+    def _wake_in_time(self, pending: PendingRequest) -> None:
         """A timer, so that a request that waits is answered in time whatever comes."""
-        pause = max(0.0, self._latest_start(held, self._origin()) - self.now)
-        self.out.append(api.SetTimer(pause, "wait:" + held.request.request_id))
+        pause = max(0.0, self._latest_start(pending, self._origin()) - self.now)
+        self.actions.append(api.SetTimer(pause, "wait:" + pending.request.request_id))
 
-    def _latest_start(self, held: Held, origin: Server | None) -> float:
+    def _latest_start(self, pending: PendingRequest, origin: Server | None) -> float:
         """From then on no fetch would be back in time; writes need less room, as they store nothing."""
-        room = 1.0 if held.request.write else FETCH_ROOM
-        return held.until - room * origin.latency if origin is not None else held.until
+        room = 1.0 if pending.request.write else FETCH_ROOM
+        return pending.deadline - room * origin.latency if origin is not None else pending.deadline
 
     def _serve_queue(self) -> None:
-        while self.queue and (origin := self._origin()) is not None and origin.load < origin.limit:
-            held = heapq.heappop(self.queue)[2]
-            if not held.waiting:
+        while self.queue and (origin := self._origin()) is not None and origin.in_flight < origin.limit:
+            pending = heapq.heappop(self.queue)[2]
+            if not pending.waiting:
                 continue
-            held.waiting = False
+            pending.waiting = False
             # no fetch that can't be back in time, but for one to learn by
-            in_time = self.now < (self._latest_start(held, origin) if origin.load else held.until)
-            if in_time and self._permits(held, origin):
-                self._send(held, origin)
+            in_time = self.now < (
+                self._latest_start(pending, origin) if origin.in_flight else pending.deadline
+            )
+            if in_time and self._permits(pending, origin):
+                self._send(pending, origin)
             else:
-                self._end(held)
+                self._end(pending)
         # guards clients against waiting on for what can't be served any more: they may still ask again
         origin = self._origin()  # looked up once, not for each that waits
-        for _, _, held in self.queue:
-            if held.waiting and self.now >= self._latest_start(held, origin):
-                self._end(held)
+        for _, _, pending in self.queue:
+            if pending.waiting and self.now >= self._latest_start(pending, origin):
+                self._end(pending)
         # guards against requests long ended piling up behind those of more worth
         self.queue = [q for q in self.queue if q[2].waiting]
         heapq.heapify(self.queue)
@@ -474,21 +505,25 @@
         """Adapt what this router has out at a server: less when it is slow or full, else a little more."""
         server = attempt.server
         well = event.status in (api.Status.OK, api.Status.MISS)
-        server.heard = max(server.heard, attempt.sent_at if well else -math.inf)
-        server.wrong = 0 if well else server.wrong + (event.status not in (*UNHEARD, api.Status.BUSY))
-        if server.wrong >= FAULTY:
+        server.last_answered_send = max(server.last_answered_send, attempt.sent_at if well else -math.inf)
+        server.consecutive_failures = (
+            0 if well else server.consecutive_failures + (event.status not in (*UNHEARD, api.Status.BUSY))
+        )
+        if server.consecutive_failures >= FAULTY:
             self._found_ailing(server)
-        if server.cache:
+        if server.is_cache:
             self.shares.good += SMOOTHING * (well - self.shares.good)
-            self.wait += SMOOTHING * (event.latency / (1 + server.reported) - self.wait)
+            self.wait_per_request += SMOOTHING * (
+                event.latency / (1 + server.reported_load) - self.wait_per_request
+            )
         if event.status is not api.Status.BUSY:
             server.latency += SMOOTHING * (event.latency - server.latency)
-        server.slowness += SMOOTHING * (event.latency / attempt.target - server.slowness)
-        if event.status is api.Status.BUSY or server.slowness > 1.0:
-            if self.now - server.cut_at > attempt.target:
+        server.latency_ratio += SMOOTHING * (event.latency / attempt.target_latency - server.latency_ratio)
+        if event.status is api.Status.BUSY or server.latency_ratio > 1.0:
+            if self.now - server.limit_cut_at > attempt.target_latency:
                 server.limit = max(1.0, server.limit * LIMIT_CUT)
-                server.cut_at = self.now
+                server.limit_cut_at = self.now
             if event.status is api.Status.BUSY:  # what is out there now is what it bears
-                server.limit = max(1.0, min(server.limit, server.load))
-        elif well and server.load + 1 >= server.limit / 2:
+                server.limit = max(1.0, min(server.limit, server.in_flight))
+        elif well and server.in_flight + 1 >= server.limit / 2:
             server.limit += 1 / server.limit
--- a/brackenwalk/shares.py
+++ b/brackenwalk/shares.py
@@ -42,7 +42,7 @@
 
     def zone_is_back(self, zone: Zone) -> None:
         """A zone that said nothing for a while answers: its servers may have started again."""
-        zone.lost_at, zone.back_at = zone.heard_at, self.now
+        zone.outage_began_at, zone.outage_ended_at = zone.last_answer_at, self.now
         self.unsteady |= dict.fromkeys(s for s in self.caches if self.zones.get(s.entry.zone) is zone)
 
     def ease(self, server: Server) -> bool:
@@ -50,15 +50,15 @@
 
         Answers with whether it is cut now, and not just before.
         """
-        if not server.cache or self.now - server.eased_at <= CACHE_TARGET * self.shortest_aim:
+        if not server.is_cache or self.now - server.health_cut_at <= CACHE_TARGET * self.shortest_aim:
             return False
-        server.eased, server.eased_at = EASE * self.eased(server), self.now
+        server.health, server.health_cut_at = EASE * self.eased(server), self.now
         self.unsteady[server] = None
         return True
 
     def eased(self, server: Server) -> float:
         """What is left of a server's points, or has come back to it."""
-        return min(1.0, server.eased + EASE_GAIN * (self.now - server.eased_at))
+        return min(1.0, server.health + EASE_GAIN * (self.now - server.health_cut_at))
 
     def kept(self, server: Server) -> float:
         """Share of its points that an ailing server keeps; where all ail alike they keep all."""
@@ -72,9 +72,9 @@
         One whose zone was lost and is back may have started again, which the list tells later.
         """
         zone = self.zones.get(server.entry.zone)
-        lost = zone is not None and server.entry.started_at < zone.lost_at
-        if zone is not None and lost and self.now - zone.back_at < ASK * self.settings.max_list_age:
-            return zone.back_at
+        lost = zone is not None and server.entry.started_at < zone.outage_began_at
+        if zone is not None and lost and self.now - zone.outage_ended_at < ASK * self.settings.max_list_age:
+            return zone.outage_ended_at
         return server.entry.started_at
 
     def cold(self, server: Server) -> bool:
@@ -103,7 +103,7 @@
         """The part of a key's requests that a server may take; one key fills no more than its fair share."""
         if not self.cold(server):
             return 1.0
-        fair = server.size / self.total_size
+        fair = server.ring_weight / self.total_size
         return self.warm_share(server) * min(1.0, fair / self.demand.share(key))
 
     def fair(self) -> dict[Server, float]:
@@ -125,7 +125,7 @@
     def plan(self, clockwise: Callable[[int], Iterator[Server]], first: Callable[[int], Server]) -> None:
         """Look at the servers that are unsteady, and share out the hot keys among all."""
         if not self.even:
-            self.even = {s: s.size / self.total_size for s in self.caches}
+            self.even = {s: s.ring_weight / self.total_size for s in self.caches}
         # one that drains is sent nothing new, and found ailing by what it still has
         known = (s for s in self.unsteady if s in self.even)
         self.unsteady = dict.fromkeys(s for s in known if self.cold(s) or self.eased(s) < 1)
--- a/fleetlab/module_costs.py
+++ b/fleetlab/module_costs.py
@@ -36,7 +36,7 @@
 
 def tell_at(router: Router) -> float:
     """When a router shares out demand and tells its peers next; with a request, from then on."""
-    holder: Any = getattr(router, "telling", router)
+    holder: Any = getattr(router, "gossip", router)
     return float(holder.tell_at)
 
 
--- a/tests/test_lab_hollow.py
+++ b/tests/test_lab_hollow.py
@@ -24,7 +24,7 @@
 from tests.driver import entry, settings
 from tests.loopback import http, run
 
-CONF = settings(gossip=True)
+CONF = settings(gossip_enabled=True)
 SERVERS = [entry(f"s{i}", zone="ab"[i % 2]) for i in range(6)]
 
 
@@ -87,9 +87,9 @@
     fleet = Fleet(CONF, 4, SERVERS)
     fleet.run(1.0, 200.0, zipf(50))
     fleet.lose([], [0])
-    before, heard = fleet.routers[0].taken, sum(c for (n, _), c in fleet.hears.items() if n == 0)
+    before, heard = fleet.routers[0].request_count, sum(c for (n, _), c in fleet.hears.items() if n == 0)
     fleet.run(1.0, 200.0, zipf(50))
-    assert fleet.routers[0].taken == before
+    assert fleet.routers[0].request_count == before
     assert sum(c for (n, _), c in fleet.hears.items() if n == 0) == heard
 
 
--- a/tests/test_net_host.py
+++ b/tests/test_net_host.py
@@ -124,7 +124,7 @@
             client, cache = await router.begun()
             client.close()
             assert await cache.ended()
-            assert not router.host.router.held and not router.host.router.attempts
+            assert not router.host.router.pending and not router.host.router.attempts
 
     run(scenario)
 
@@ -345,7 +345,7 @@
                 patch.setattr(router.host, "take", None)
                 first.write(read("r2"))
                 assert await first.ended()
-            assert await cache.ended() and not router.host.router.held
+            assert await cache.ended() and not router.host.router.pending
             other.write(command("PING"))
             assert await other.resp() == b"PONG"
 
@@ -457,7 +457,7 @@
     while router.listener.connections:
         await asyncio.sleep(0.01)
     assert all(taken.closed for taken in router.host.requests.values())
-    assert not router.host.router.held
+    assert not router.host.router.pending
 
 
 def test_a_client_that_leaves_while_nothing_is_read_from_it_is_noticed() -> None:
@@ -660,7 +660,7 @@
             assert await cache.ended()
             client.write(read("r2"))  # sent on a connection that is still open
             assert error(await client.resp()).startswith("BUSY")
-            assert not router.host.requests and not router.host.router.held
+            assert not router.host.requests and not router.host.router.pending
             await router.listener.stop(0.0, 5.0)
             assert await client.ended() and await writer.ended()
 
--- a/tests/test_net_turns.py
+++ b/tests/test_net_turns.py
@@ -132,7 +132,7 @@
             while router.origins.dials:
                 await asyncio.sleep(0)
             await turns()
-            assert not router.origins.connections and not router.host.router.held
+            assert not router.origins.connections and not router.host.router.pending
             assert router.origin.links.empty() or await (await router.origin.link()).ended()
 
     run(scenario)
@@ -185,7 +185,7 @@
             cache.write(HIT)
             assert await other.resp() == b"value"
             assert str(await client.resp()) == "ERR failed"
-            assert not router.host.router.held
+            assert not router.host.router.pending
 
     run(scenario)
 
--- a/tests/test_ring.py
+++ b/tests/test_ring.py
@@ -238,7 +238,7 @@
     d = Driver(settings())
     d.list(*(entry(f"s{i}") for i in range(90)))
     for s in d.router.servers.values():
-        s.load, s.quiet_since = 1, d.now - 5.0
+        s.in_flight, s.unanswered_since = 1, d.now - 5.0
     looked: list[object] = []
     eligible = d.router._eligible
     d.router._eligible = lambda held, server: looked.append(server) or eligible(held, server)  # type: ignore[method-assign,func-returns-value]
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -334,7 +334,7 @@
         d.step(data, n)
     d.wait(10.0)
     assert not d.open, "rule 1: left without an answer"
-    assert not d.router.held, "something is still held"
+    assert not d.router.pending, "something is still held"
 
 
 CHECKS = hypothesis_settings(
@@ -365,7 +365,7 @@
 
     def _enqueue(self, held: Any) -> None:
         super()._enqueue(held)
-        self.out = [a for a in self.out if not isinstance(a, api.SetTimer)]
+        self.actions = [a for a in self.actions if not isinstance(a, api.SetTimer)]
 
 
 @pytest.mark.parametrize("broken", [Resender, Forgetter])
@@ -408,10 +408,10 @@
     """Small waiting rooms turned a third of attempts away; requests were refused beside servers with room."""
     d = Driver(settings())
     d.list(*fleet("a", "b", "c", "d"))
-    d.router.retries = 0.0
+    d.router.retry_budget = 0.0
     first = d.request("r", key="k")
     assert d.end("r", api.Status.BUSY) not in (None, first)
-    d.router.retries = 0.0
+    d.router.retry_budget = 0.0
     assert d.end("r", api.Status.RESET) is None
 
 
@@ -420,7 +420,7 @@
     d = Driver(settings())
     d.list(*fleet("a", "b", "c", "d"))
     d.request("r", key="k")
-    d.router.retries, d.router.shares.good = 0.0, 0.2
+    d.router.retry_budget, d.router.shares.good = 0.0, 0.2
     assert d.end("r", api.Status.BUSY) is None and d.ended["r"] == "refused"
 
 
@@ -467,7 +467,7 @@
     assert d.request("r1", key="k") == second
     crowd(d, second)
     assert d.request("r2", key="k") is None and d.ended["r2"] == "refused"
-    assert d.router.servers[third].load == 0
+    assert d.router.servers[third].in_flight == 0
 
 
 def test_silent_servers_are_passed_without_being_counted() -> None:
@@ -477,15 +477,15 @@
     first, second, third, _ = order_of(d, "k")
     crowd(d, first, second)
     for name in (first, second):
-        d.router.servers[name].load = 1
-        d.router.servers[name].quiet_since = d.now - 1.5
+        d.router.servers[name].in_flight = 1
+        d.router.servers[name].unanswered_since = d.now - 1.5
     assert d.request("r1", key="k") == third
 
 
 def test_a_silent_server_gets_one_trial_at_a_time_until_it_answers() -> None:
     d = Driver(settings())
     d.list(*fleet("a", "b"))
-    d.router.telling.tell_at = math.inf  # or so hot a key would be shared out
+    d.router.gossip.tell_at = math.inf  # or so hot a key would be shared out
     first, second = order_of(d, "k")
     assert [d.request(f"r{n}", key="k") for n in "12"] == [first, first]
     d.now += 1.1
@@ -505,7 +505,7 @@
     for n in range(20):
         d.request(f"r{n}", key="k")
         d.end(f"r{n}", api.Status.OK, latency=0.9 if n == 10 else 0.05)
-    assert d.router.servers["a"].limit >= state.LIMIT_START
+    assert d.router.servers["a"].limit >= state.INITIAL_LIMIT
 
 
 def test_no_fetch_is_sent_that_cannot_be_back_in_time() -> None:
@@ -575,9 +575,9 @@
     d.router.servers["a"].limit = 1.0
     d.request("r1")
     d.list(entry("a", started_at=d.now), kind=api.ListKind.DELTA)
-    assert d.router.servers["a"].limit == state.LIMIT_START
+    assert d.router.servers["a"].limit == state.INITIAL_LIMIT
     d.ok("r1")
-    assert d.router.servers["a"].load == 0
+    assert d.router.servers["a"].in_flight == 0
 
 
 def test_a_long_run_holds_bounded_memory() -> None:
@@ -596,7 +596,7 @@
         d.wait(0.05)
     d.wait(5.0)
     r = d.router
-    assert not r.held and not r.attempts
+    assert not r.pending and not r.attempts
     assert len(r.servers) <= 5 and len(r.queue) < 100
     assert len(r.ring.owners) == len(r.ring.positions) <= 5 * policy.POINTS
 
@@ -610,7 +610,7 @@
         missed(d, f"r{n}", key=f"k{n}")
         d.router.servers["o"].limit = 1.0
         d.wait(0.05)
-    assert len(d.router.queue) <= 2 * len(d.router.held) + 1 < 200
+    assert len(d.router.queue) <= 2 * len(d.router.pending) + 1 < 200
 
 
 def test_idle_connections_are_closed_when_they_cost_more_than_new_ones() -> None:
@@ -691,9 +691,9 @@
     d.list(*fleet("a", "b"))
     d.request("r")
     d.end("r", api.Status.CONNECT_FAILED)
-    assert d.router.keep == policy.KEEP / 2
+    assert d.router.keep_factor == policy.KEEP / 2
     d.ok("r")
-    assert policy.KEEP / 2 < d.router.keep < policy.KEEP
+    assert policy.KEEP / 2 < d.router.keep_factor < policy.KEEP
 
 
 def test_a_server_reported_crowded_is_passed_by_a_share_of_requests() -> None:
@@ -703,7 +703,7 @@
     d.list(*(entry(n, weight=2.0) for n in names))
     first = d.request("r", key="k", finish=True)
     d.list(*(entry(n, weight=0.5 if n == first else 1.0) for n in names))
-    d.router.telling.tell_at = math.inf  # or so hot a key would be shared out
+    d.router.gossip.tell_at = math.inf  # or so hot a key would be shared out
     sent = [d.request(f"r{n}", key="k", finish=True) for n in range(200)]
     assert 70 < sent.count(first) < 140  # 3 held against a cap of 1.56: half stay
 
@@ -735,7 +735,7 @@
     """Clients gave up on two attempts in three and retried, and nothing told the router but its own waits."""
     d = Driver(settings(max_attempts=1))
     d.list(*(entry(f"s{n}") for n in range(30)))
-    d.router.wait = 4.0
+    d.router.wait_per_request = 4.0
     sent = [d.request(f"r{n}", key=f"k{n}") for n in range(200)]
     assert 20 < sum(s is not None for s in sent) < 90  # a second of four: one in four is let in
 
@@ -817,7 +817,7 @@
     """Something sent later to the server that holds this request is answered."""
     d.now += 0.01
     server = d.router.servers[d.sends[name][-1]]
-    server.heard = d.now
+    server.last_answered_send = d.now
 
 
 def test_an_answer_that_got_lost_does_not_cost_the_request() -> None:
@@ -857,7 +857,7 @@
     overtake(d, "r1")
     d.wait(0.4)
     if fetch is None:
-        d.router.servers["o"].load = 100  # no place there
+        d.router.servers["o"].in_flight = 100  # no place there
     d.end("r1", api.Status.MISS, 1)
     d.wait(3.0)
     assert "r1" in d.ended
@@ -949,7 +949,7 @@
         d.request(f"r{n}", key="k")
     for n in range(4):
         d.end(f"r{n}", api.Status.TIMEOUT, latency=1.0)
-    assert d.router.servers["a"].limit < state.LIMIT_START
+    assert d.router.servers["a"].limit < state.INITIAL_LIMIT
 
 
 @pytest.mark.parametrize("how", [api.Status.ERROR, api.Status.RESET, api.Status.CONNECT_FAILED])
@@ -957,7 +957,7 @@
     """Its failures came at once, so it looked quick and idle, and each of its keys paid for an attempt."""
     d = Driver(settings(**ASIDE))
     d.list(*fleet("a", "b"))
-    d.router.telling.tell_at = math.inf  # or so hot a key would be shared out
+    d.router.gossip.tell_at = math.inf  # or so hot a key would be shared out
     first, second = order_of(d, "k")
     for n in range(policy.FAULTY):
         assert d.request(f"r{n}", key="k") == first
@@ -976,7 +976,7 @@
 def test_a_full_server_is_not_faulty() -> None:
     d = Driver(settings())
     d.list(*fleet("a", "b"))
-    d.router.telling.tell_at = math.inf  # or so hot a key would be shared out
+    d.router.gossip.tell_at = math.inf  # or so hot a key would be shared out
     first, _ = order_of(d, "k")
     for n in range(2 * policy.FAULTY):
         assert d.request(f"r{n}", key="k") == first
@@ -1062,11 +1062,11 @@
 
 def test_requests_of_no_class_teach_nothing() -> None:
     """They are never sent: counted, they would push aside the keys that are, and be told to all peers."""
-    d = Driver(settings(gossip=True, siblings=4))
+    d = Driver(settings(gossip_enabled=True, siblings=4))
     d.list(*fleet("a", "b"))
     for i in range(1000):
         d.now += 0.01
         request = api.Request(f"x{i}", "unheard-of", 1.0, key="flood")
         assert d.router.handle(d.now, request) == [api.Refuse(request.request_id)]
-    assert not d.router.held and d.router.taken == 0
+    assert not d.router.pending and d.router.request_count == 0
     assert not d.router.demand.long.times and not d.router.demand.untold
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -12,15 +12,15 @@
 from brackenwalk.state import Server
 from tests.driver import Driver, entry, settings
 
-CONF = settings(gossip=True, cold_share=0.2, ramp=10.0, max_list_age=10.0)
+CONF = settings(gossip_enabled=True, cold_share=0.2, ramp=10.0, max_list_age=10.0)
 
 
 def everyone(shares: Shares) -> dict[str, float]:
     """Each server's fair share by the formulas of shares.py, over all servers alike."""
-    total = sum(s.size for s in shares.caches)
+    total = sum(s.ring_weight for s in shares.caches)
 
     def eased(s: Server) -> float:
-        return min(1.0, s.eased + 0.1 * (shares.now - s.eased_at))
+        return min(1.0, s.health + 0.1 * (shares.now - s.health_cut_at))
 
     def cold(s: Server) -> bool:
         started = shares.started(s)
@@ -30,17 +30,17 @@
         age = max(0.0, shares.now - shares.started(s))
         return 0.2 + 0.8 * age / 10.0 if cold(s) else 1.0
 
-    mean = sum(s.size * eased(s) for s in shares.caches) / total
+    mean = sum(s.ring_weight * eased(s) for s in shares.caches) / total
     kept = {s: min(1.0, eased(s) / mean) for s in shares.caches}
-    level = sum(s.size * kept[s] for s in shares.caches) / total
-    able = sum(s.size * stated(s) for s in shares.caches) / total
+    level = sum(s.ring_weight * kept[s] for s in shares.caches) / total
+    able = sum(s.ring_weight * stated(s) for s in shares.caches) / total
     bold = min(1.0, 1 / able)
     part = {s: min(1.0, bold * level * shares.good * stated(s)) if cold(s) else 1.0 for s in shares.caches}
-    fair = {s: part[s] * kept[s] * s.size / total for s in shares.caches}
+    fair = {s: part[s] * kept[s] * s.ring_weight / total for s in shares.caches}
     rest = 1 - sum(fair[s] for s in fair if cold(s))
     warm = sum(fair[s] for s in fair if not cold(s))
-    assert {s.name: shares.cold(s) for s in fair} == {s.name: cold(s) for s in fair}
-    assert {s.name: shares.kept(s) for s in fair} == pytest.approx({s.name: kept[s] for s in fair})
+    assert {s.name_hash: shares.cold(s) for s in fair} == {s.name_hash: cold(s) for s in fair}
+    assert {s.name_hash: shares.kept(s) for s in fair} == pytest.approx({s.name_hash: kept[s] for s in fair})
     return {s.entry.server: fair[s] if cold(s) else fair[s] * rest / warm for s in fair}
 
 
@@ -70,7 +70,7 @@
         elif what == "ease" and server is not None:
             shares.ease(server)
         elif what == "zone" and (zone := shares.zones.get(f"z{number}")) is not None:
-            zone.heard_at = d.now - 2.0
+            zone.last_answer_at = d.now - 2.0
             shares.zone_is_back(zone)
         elif what in ("drain", "start", "back"):
             since[number] = d.now if what == "start" else since[number]
--- a/tests/test_telling.py
+++ b/tests/test_telling.py
@@ -32,7 +32,7 @@
     """Each router that met one of a zone's dead servers told all others, and again while it met them."""
     monkeypatch.setattr(model, "ON_THE_WAY", 0.027)  # the longest of any site
     with shared_rings():
-        fleet = Fleet(settings(gossip=True, aside=False), routers, SERVERS, hosted=True)
+        fleet = Fleet(settings(gossip_enabled=True, aside=False), routers, SERVERS, hosted=True)
         keys = zipf(240)
         fleet.run(0.5, 12.0 * routers, keys)
         fleet.messages.clear()
@@ -41,13 +41,13 @@
     told = [m for m in fleet.messages if names_in(m)]
     assert 0 < len(told) < 4.0 * 15  # some five a second were counted, of 230 as of 40
     for router in fleet.routers:
-        eased = {s.entry.server for s in router.servers.values() if s.eased < 1}
+        eased = {s.entry.server for s in router.servers.values() if s.health < 1}
         assert {s.server for s in SERVERS if s.zone == "a"} <= eased
 
 
 def rate_of(siblings: int, keys: int) -> tuple[float, float]:
     """Bytes and messages a second that each router hears of so many siblings with so many keys a message."""
-    conf = settings(gossip=True, siblings=siblings)
+    conf = settings(gossip_enabled=True, siblings=siblings)
     telling, now, size, count = Telling(conf, random.Random(3), 0.0), 0.0, 0, 0
     while now < 400.0:
         now += 0.01
@@ -73,58 +73,58 @@
 
 
 def test_who_hears_another_tell_of_a_server_does_not_tell_it_again() -> None:
-    first, second = (Driver(settings(gossip=True, siblings=40), seed=s) for s in (1, 2))
+    first, second = (Driver(settings(gossip_enabled=True, siblings=40), seed=s) for s in (1, 2))
     for d in (first, second):
         d.list(*SERVERS)
         d.router._found_ailing(d.router.servers["s1"])
-    content = first.router.telling.message(first.now)
-    assert names_in(content) == [first.router.servers["s1"].name]
+    content = first.router.gossip.message(first.now)
+    assert names_in(content) == [first.router.servers["s1"].name_hash]
     second.feed(api.PeerMessage(content))
-    assert names_in(second.router.telling.message(second.now) or NOTHING) == []
-    assert names_in(first.router.telling.message(first.now) or NOTHING) == []  # told once
+    assert names_in(second.router.gossip.message(second.now) or NOTHING) == []
+    assert names_in(first.router.gossip.message(first.now) or NOTHING) == []  # told once
 
 
 def test_a_server_is_told_of_again_while_it_fails() -> None:
-    d = Driver(settings(gossip=True, siblings=40))
+    d = Driver(settings(gossip_enabled=True, siblings=40))
     d.list(*SERVERS)
     told: Counter[int] = Counter()
     for _ in range(40):
         d.now += 0.1
         d.feed(api.TimerFired("the time"))
         d.router._found_ailing(d.router.servers["s1"])
-        told.update(names_in(d.router.telling.message(d.now) or NOTHING))
-    assert 8 <= told[d.router.servers["s1"].name] <= 16  # as often as a cut counts: four a second
+        told.update(names_in(d.router.gossip.message(d.now) or NOTHING))
+    assert 8 <= told[d.router.servers["s1"].name_hash] <= 16  # as often as a cut counts: four a second
 
 
 def test_what_ails_is_told_without_the_keys_that_others_tell() -> None:
     """Each of 2,300 routers that found a server ailing told thirty keys beside its name."""
-    d = Driver(settings(gossip=True, siblings=2300))
+    d = Driver(settings(gossip_enabled=True, siblings=2300))
     d.list(*SERVERS)
     sizes = []
     for n in range(200):
         for key in range(60):
-            d.router.telling.demand.add(key)
+            d.router.gossip.demand.add(key)
         d.now += 0.3
         d.feed(api.TimerFired("the time"))
         d.router._found_ailing(d.router.servers[f"s{n % 12}"])
-        sizes.append(len(d.router.telling.message(d.now)))
+        sizes.append(len(d.router.gossip.message(d.now)))
     assert sorted(sizes)[180] == CHECK + HEAD.size + NAME.size
 
 
 def test_a_message_that_comes_too_late_changes_nothing_and_is_counted() -> None:
-    d = Driver(settings(gossip=True, siblings=40))
+    d = Driver(settings(gossip_enabled=True, siblings=40))
     d.list(*SERVERS)
-    name = d.router.servers["s1"].name
+    name = d.router.servers["s1"].name_hash
     sender = Demand()
     sender.add(7)
     late = sender.message([name], now=d.now - FRESH - 0.1)
     assert d.feed(api.PeerMessage(late)) == []
     assert d.feed(api.PeerMessage(late[:-1])) == []
-    assert d.router.servers["s1"].eased == 1 and not d.router.demand.long.total
+    assert d.router.servers["s1"].health == 1 and not d.router.demand.long.total
     assert (d.router.demand.stale, d.router.demand.garbled) == (1, 1)
     sender.add(7)
     d.feed(api.PeerMessage(sender.message([name], now=d.now - FRESH + 0.1)))
-    assert d.router.servers["s1"].eased < 1 and d.router.demand.long.total == 1
+    assert d.router.servers["s1"].health < 1 and d.router.demand.long.total == 1
 
 
 def test_the_time_of_a_message_is_read_also_where_it_begins_anew() -> None:
@@ -137,7 +137,7 @@
 
 
 def test_nothing_is_told_of_what_ails_where_routers_may_not_talk() -> None:
-    d = Driver(settings(gossip=False, siblings=40))
+    d = Driver(settings(gossip_enabled=False, siblings=40))
     d.list(*SERVERS)
     for _ in range(20):
         d.now += 0.5
--- a/tests/test_terms_clients.py
+++ b/tests/test_terms_clients.py
@@ -149,7 +149,7 @@
             await skip.ahead(0.1)  # a look has just been, and the next is as far off as it gets
             leave_at_once(client)
             await skip.ahead(0.05)
-            assert not router.listener.connections and not router.host.router.held
+            assert not router.listener.connections and not router.host.router.pending
 
     run(scenario)
 
@@ -166,7 +166,7 @@
             at_once(out[b"r1"], b"-BUSY\r\n")
             out[b"r2"].reset()
             await turns()
-            assert unused(router) and not router.host.router.held
+            assert unused(router) and not router.host.router.pending
 
     run(scenario)
 
@@ -183,7 +183,7 @@
             at_once(out[b"r0"], HIT)
             await turns()
             assert set(router.host.requests) <= taken and unused(router)
-            assert not router.listener.connections and not router.host.router.held
+            assert not router.listener.connections and not router.host.router.pending
 
     run(scenario)
 
--- a/tests/test_wirehost.py
+++ b/tests/test_wirehost.py
@@ -139,7 +139,7 @@
     play(host, 1.1, ask("1"))
     play(host, 1.2, done("1", 0, outcome, outcome == "delivered"))
     router = host.routers[3]
-    assert sum(s.load for s in router.servers.values()) == len(router.attempts) <= 1
+    assert sum(s.in_flight for s in router.servers.values()) == len(router.attempts) <= 1
 
 
 def test_every_list_kind_and_state_is_taken() -> None:
