--- a/tests/driver.py
+++ b/tests/driver.py
@@ -45,7 +45,7 @@
         self.timers: list[tuple[float, str]] = []
         self.listed: dict[str, api.ServerEntry] = {}
         self.last: list[api.Action] = []
-        self.told: list[bytes] = []  # messages to the peers
+        self.broadcasts: list[bytes] = []  # messages to the peers
 
     def feed(self, event: api.Event) -> list[api.Action]:
         self.last = self.router.handle(self.now, event)
@@ -61,7 +61,7 @@
             self.timers.append((self.now + action.delay, action.token))
         elif isinstance(action, api.Broadcast):
             assert 0 < len(action.content) <= 256
-            self.told.append(action.content)
+            self.broadcasts.append(action.content)
         elif isinstance(action, api.Cancel):
             assert (action.request_id, action.attempt) in self.state, "cancels an attempt never made"
         elif isinstance(action, api.Send):
--- a/tests/test_demand.py
+++ b/tests/test_demand.py
@@ -134,7 +134,7 @@
     for n in range(300):
         d.request(f"k{n}", key=f"k{n % 100}", finish=True)
     for each in d.router.servers.values():
-        d.router._found_ailing(each)
+        d.router._mark_unhealthy(each)
     hears = Driver(settings(gossip_enabled=True), seed=2)
     hears.list(*(entry(f"s{i}") for i in range(60)))
     for n in range(5):
@@ -207,7 +207,7 @@
     d.list(*SERVERS)
     before = [asked(d, f"b{n}", f"k{n}")[0] for n in range(200)]
     for server in d.router.servers.values():
-        d.router.shares.ease(server)
+        d.router.shares.cut_health(server)
     d.now += 0.5
     asked(d, "tell", "k")
     assert [d.request(f"a{n}", key=f"k{n}", finish=True) for n in range(200)] == before
@@ -273,7 +273,7 @@
     d.router.demand.long.total = 1000.0
     d.now += 1.0
     d.request("first", key=key, finish=True)  # shares the key out
-    portions = d.router.shares.portions[hashed(key) >> 32]
+    portions = d.router.shares.hot_key_shares[hashed(key) >> 32]
     planned = [s for s in portions if portions[s] and s is not server(d, "cold")]
     for other in planned[:3]:
         other.in_flight = int(other.limit)
--- a/tests/test_ring.py
+++ b/tests/test_ring.py
@@ -243,7 +243,7 @@
     eligible = d.router._eligible
     d.router._eligible = lambda held, server: looked.append(server) or eligible(held, server)  # type: ignore[method-assign,func-returns-value]
     assert d.request("r", key="k") is None and d.ended["r"] == "refused"
-    assert 0 < len(looked) <= policy.WALK
+    assert 0 < len(looked) <= policy.MAX_WALK_NODES
 
 
 def test_a_cold_server_gets_less_while_answers_fail() -> None:
@@ -252,11 +252,11 @@
     d.list(*(entry(n) for n in "abc"), entry("d", started_at=d.now))
     assert primaries(d, "a").count("d") > 80
     cold = d.router.servers["d"]
-    assert d.router.shares.warm_share(cold) == pytest.approx(0.3)
+    assert d.router.shares.accepted_share(cold) == pytest.approx(0.3)
     for n in range(20):
         if d.request(f"f{n}", key=f"k{n}") is not None:
             d.end(f"f{n}", api.Status.TIMEOUT)
-    assert d.router.shares.warm_share(cold) < 0.3 / 4
+    assert d.router.shares.accepted_share(cold) < 0.3 / 4
 
 
 def test_routers_agree_which_small_keys_a_cold_server_has() -> None:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -420,7 +420,7 @@
     d = Driver(settings())
     d.list(*fleet("a", "b", "c", "d"))
     d.request("r", key="k")
-    d.router.retry_budget, d.router.shares.good = 0.0, 0.2
+    d.router.retry_budget, d.router.shares.success_share = 0.0, 0.2
     assert d.end("r", api.Status.BUSY) is None and d.ended["r"] == "refused"
 
 
@@ -598,7 +598,7 @@
     r = d.router
     assert not r.pending and not r.attempts
     assert len(r.servers) <= 5 and len(r.queue) < 100
-    assert len(r.ring.owners) == len(r.ring.positions) <= 5 * policy.POINTS
+    assert len(r.ring.owners) == len(r.ring.positions) <= 5 * policy.VIRTUAL_NODES
 
 
 def test_the_queue_for_the_origin_stays_bounded() -> None:
@@ -691,9 +691,9 @@
     d.list(*fleet("a", "b"))
     d.request("r")
     d.end("r", api.Status.CONNECT_FAILED)
-    assert d.router.keep_factor == policy.KEEP / 2
+    assert d.router.keep_factor == policy.IDLE_KEEP_SHARE / 2
     d.ok("r")
-    assert policy.KEEP / 2 < d.router.keep_factor < policy.KEEP
+    assert policy.IDLE_KEEP_SHARE / 2 < d.router.keep_factor < policy.IDLE_KEEP_SHARE
 
 
 def test_a_server_reported_crowded_is_passed_by_a_share_of_requests() -> None:
@@ -901,7 +901,7 @@
         overtake(d, f"r{n}")
     d.wait(0.9)
     copies = sum(len(d.sends[f"r{n}"]) - 1 for n in range(60))
-    assert 0 < copies <= policy.RETRIES_SAVED
+    assert 0 < copies <= policy.MAX_RETRY_BUDGET
 
 
 def test_an_outcome_of_the_origin_does_not_look_it_up_for_each_that_waits() -> None:
@@ -959,7 +959,7 @@
     d.list(*fleet("a", "b"))
     d.router.gossip.tell_at = math.inf  # or so hot a key would be shared out
     first, second = order_of(d, "k")
-    for n in range(policy.FAULTY):
+    for n in range(policy.FAILURE_THRESHOLD):
         assert d.request(f"r{n}", key="k") == first
         d.end(f"r{n}", how)
         d.ok(f"r{n}")
@@ -978,7 +978,7 @@
     d.list(*fleet("a", "b"))
     d.router.gossip.tell_at = math.inf  # or so hot a key would be shared out
     first, _ = order_of(d, "k")
-    for n in range(2 * policy.FAULTY):
+    for n in range(2 * policy.FAILURE_THRESHOLD):
         assert d.request(f"r{n}", key="k") == first
         d.end(f"r{n}", api.Status.BUSY)
         d.ok(f"r{n}")
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -8,14 +8,14 @@
 from hypothesis import strategies as st
 
 from brackenwalk import interface as api
-from brackenwalk.shares import Shares
+from brackenwalk.shares import TrafficShares
 from brackenwalk.state import Server
 from tests.driver import Driver, entry, settings
 
 CONF = settings(gossip_enabled=True, cold_share=0.2, ramp=10.0, max_list_age=10.0)
 
 
-def everyone(shares: Shares) -> dict[str, float]:
+def everyone(shares: TrafficShares) -> dict[str, float]:
     """Each server's fair share by the formulas of shares.py, over all servers alike."""
     total = sum(s.ring_weight for s in shares.caches)
 
@@ -23,11 +23,11 @@
         return min(1.0, s.health + 0.1 * (shares.now - s.health_cut_at))
 
     def cold(s: Server) -> bool:
-        started = shares.started(s)
+        started = shares.started_at(s)
         return started > 0 and shares.now - started < 10.0
 
     def stated(s: Server) -> float:
-        age = max(0.0, shares.now - shares.started(s))
+        age = max(0.0, shares.now - shares.started_at(s))
         return 0.2 + 0.8 * age / 10.0 if cold(s) else 1.0
 
     mean = sum(s.ring_weight * eased(s) for s in shares.caches) / total
@@ -35,12 +35,17 @@
     level = sum(s.ring_weight * kept[s] for s in shares.caches) / total
     able = sum(s.ring_weight * stated(s) for s in shares.caches) / total
     bold = min(1.0, 1 / able)
-    part = {s: min(1.0, bold * level * shares.good * stated(s)) if cold(s) else 1.0 for s in shares.caches}
+    part = {
+        s: min(1.0, bold * level * shares.success_share * stated(s)) if cold(s) else 1.0
+        for s in shares.caches
+    }
     fair = {s: part[s] * kept[s] * s.ring_weight / total for s in shares.caches}
     rest = 1 - sum(fair[s] for s in fair if cold(s))
     warm = sum(fair[s] for s in fair if not cold(s))
-    assert {s.name_hash: shares.cold(s) for s in fair} == {s.name_hash: cold(s) for s in fair}
-    assert {s.name_hash: shares.kept(s) for s in fair} == pytest.approx({s.name_hash: kept[s] for s in fair})
+    assert {s.name_hash: shares.is_cold(s) for s in fair} == {s.name_hash: cold(s) for s in fair}
+    assert {s.name_hash: shares.kept_share(s) for s in fair} == pytest.approx(
+        {s.name_hash: kept[s] for s in fair}
+    )
     return {s.entry.server: fair[s] if cold(s) else fair[s] * rest / warm for s in fair}
 
 
@@ -61,17 +66,17 @@
     zones = [f"z{i % 2}" for i in range(8)]
     d.list(*(entry(f"s{i}", zone=zones[i], weight=1.0 + i % 3) for i in range(8)))
     shares = d.router.shares
-    shares.good = good
+    shares.success_share = good
     since = [0.0] * 8
     for what, number in steps:
         server = d.router.servers.get(f"s{number}")
         if what == "wait":
             d.now += number / 10
         elif what == "ease" and server is not None:
-            shares.ease(server)
+            shares.cut_health(server)
         elif what == "zone" and (zone := shares.zones.get(f"z{number}")) is not None:
             zone.last_answer_at = d.now - 2.0
-            shares.zone_is_back(zone)
+            shares.zone_recovered(zone)
         elif what in ("drain", "start", "back"):
             since[number] = d.now if what == "start" else since[number]
             state = api.ServerState.DRAINING if what == "drain" else api.ServerState.READY
@@ -87,9 +92,9 @@
         if shares.caches:
             shares.plan(d.router._clockwise, d.router.ring.first)
             expected = everyone(shares)
-            got = {s.entry.server: f for s, f in shares.fair().items()}
+            got = {s.entry.server: f for s, f in shares.fair_shares().items()}
             assert got == pytest.approx(expected)
-            assert sum(got.values()) == pytest.approx(1.0) or all(map(shares.cold, shares.caches))
+            assert sum(got.values()) == pytest.approx(1.0) or all(map(shares.is_cold, shares.caches))
 
 
 def test_a_plan_looks_at_no_server_that_is_steady(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -100,14 +105,14 @@
         d.router.demand.add(n % 97)
     shares = d.router.shares
     looks: list[Server] = []
-    shares.ease(d.router.servers["s7"])
-    started = shares.started
+    shares.cut_health(d.router.servers["s7"])
+    started = shares.started_at
 
     def looked(server: Server) -> float:
         looks.append(server)
         return started(server)
 
-    monkeypatch.setattr(shares, "started", looked)
+    monkeypatch.setattr(shares, "started_at", looked)
     shares.plan(d.router._clockwise, d.router.ring.first)
     assert {s.entry.server for s in looks} <= {"s7"} and len(looks) < 100
 
--- a/tests/test_telling.py
+++ b/tests/test_telling.py
@@ -76,7 +76,7 @@
     first, second = (Driver(settings(gossip_enabled=True, siblings=40), seed=s) for s in (1, 2))
     for d in (first, second):
         d.list(*SERVERS)
-        d.router._found_ailing(d.router.servers["s1"])
+        d.router._mark_unhealthy(d.router.servers["s1"])
     content = first.router.gossip.message(first.now)
     assert names_in(content) == [first.router.servers["s1"].name_hash]
     second.feed(api.PeerMessage(content))
@@ -91,7 +91,7 @@
     for _ in range(40):
         d.now += 0.1
         d.feed(api.TimerFired("the time"))
-        d.router._found_ailing(d.router.servers["s1"])
+        d.router._mark_unhealthy(d.router.servers["s1"])
         told.update(names_in(d.router.gossip.message(d.now) or NOTHING))
     assert 8 <= told[d.router.servers["s1"].name_hash] <= 16  # as often as a cut counts: four a second
 
@@ -106,7 +106,7 @@
             d.router.gossip.demand.add(key)
         d.now += 0.3
         d.feed(api.TimerFired("the time"))
-        d.router._found_ailing(d.router.servers[f"s{n % 12}"])
+        d.router._mark_unhealthy(d.router.servers[f"s{n % 12}"])
         sizes.append(len(d.router.gossip.message(d.now)))
     assert sorted(sizes)[180] == CHECK + HEAD.size + NAME.size
 
@@ -141,9 +141,9 @@
     d.list(*SERVERS)
     for _ in range(20):
         d.now += 0.5
-        d.router._found_ailing(d.router.servers["s1"])
+        d.router._mark_unhealthy(d.router.servers["s1"])
         d.request(f"r{d.now}", key="k", finish=True)
-    assert not d.told
+    assert not d.broadcasts
 
 
 def test_a_message_of_the_form_before_is_not_read() -> None:
