--- a/fleetlab/module_costs.py
+++ b/fleetlab/module_costs.py
@@ -227,7 +227,7 @@
     prefix `storm.` is for a zone lost: the second of it in which most is heard.
     """
     conf, entries = told(experiment)
-    conf = replace(conf, number=0)
+    conf = replace(conf, sibling_index=0)
     quiet, storm, contents = played(experiment, seed)
     heard = sum(m for m, _ in quiet) / len(quiet)
     spent: dict[str, list[float]] = lists_and_changes(conf, entries, seed)
--- a/tests/test_terms_discovery.py
+++ b/tests/test_terms_discovery.py
@@ -47,7 +47,7 @@
         self.renewed: dict[int, float] = {}
         self.silent: set[int] = set()  # watches
         conf = settings(subscribe=True, siblings=siblings, max_list_age=10.0, drain_grace=GRACE)
-        self.routers = [Router(replace(conf, number=n), n, start) for n in range(siblings)]
+        self.routers = [Router(replace(conf, sibling_index=n), n, start) for n in range(siblings)]
         self.come_back()
         for n in range(siblings):
             self.feed(n, api.ServerList(api.ListKind.SAVED, (entry("a"),)))
