--- a/brackenwalk/interface.py
+++ b/brackenwalk/interface.py
@@ -1,7 +1,7 @@
-"""Everything the decision module is told and everything it may answer.
+"""The events that the decision module takes and the actions that it answers with.
 
-A host turns its own messages into these events, hands them to `policy.Router.handle`, and carries out
-the actions it gets back, in order. Times are seconds on one clock that only advances.
+A host translates its own messages into these events, hands them to `policy.Router.handle` and carries out
+the returned actions in order. All times are in seconds; points in time are on one monotonic clock.
 """
 
 from __future__ import annotations
@@ -12,33 +12,33 @@
 
 
 class SettingsError(ValueError):
-    """Settings that cannot be used; the message names the field."""
+    """Invalid settings; the message names the field."""
 
 
 class RetrySafety(Enum):
-    """What repeating a request of a class may do."""
+    """Whether a request that may already have run can be sent again."""
 
     SAFE = "safe"
-    KEYED = "keyed"  # servers of one group drop a repeat of its key for a while
+    KEYED = "keyed"  # within the repeat window, servers of one repeat group drop a repeat of the same key
     UNSAFE = "unsafe"
 
 
 class RepeatGroup(Enum):
-    """The servers that know each other's keyed requests."""
+    """The set of servers that share their record of keyed requests, and so drop each other's repeats."""
 
     ALL = "all"
     ZONE = "zone"
     CELL = "cell"
 
     def shared_by(self, one: ServerEntry, other: ServerEntry) -> bool:
-        """Whether two servers drop each other's repeats."""
+        """Whether each of two servers drops a keyed request that the other one has run."""
         if self is RepeatGroup.ZONE:
             return one.zone == other.zone
         return self is RepeatGroup.ALL or one.cell == other.cell
 
 
 class ServerState(Enum):
-    """A listed server's state."""
+    """The state in which discovery lists a server."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -46,17 +46,17 @@
 
 
 class ListKind(Enum):
-    """How a list event relates to the list already held."""
+    """How a `ServerList` event relates to the server list that the router already holds."""
 
     DELTA = "delta"
     FULL = "full"
     SAVED = "saved"
     FAILED = "failed"
-    MOVED = "moved"  # discovery is elsewhere now; the list held still holds
+    MOVED = "moved"  # discovery has a new address; the current list stays valid
 
 
 class Status(Enum):
-    """How an attempt ended."""
+    """The outcome of an attempt."""
 
     OK = "ok"
     ERROR = "error"
@@ -69,59 +69,61 @@
     MISS = "miss"
 
 
-NEVER_RAN = (Status.BUSY, Status.CONNECT_FAILED, Status.UNSENT, Status.MISS)  # proven by the outcome itself
+# outcomes that prove that the server did not run the request
+NEVER_RAN = (Status.BUSY, Status.CONNECT_FAILED, Status.UNSENT, Status.MISS)
 
 
 @dataclass(slots=True, frozen=True)
 class RequestClass:
-    """A class of requests and what its clients expect."""
+    """A request class: the latency that its clients want, and how its requests may be retried."""
 
     name: str
-    aim: float
+    aim: float  # latency in which an answer is wanted
     retry_safety: RetrySafety = RetrySafety.SAFE
     repeat_group: RepeatGroup = RepeatGroup.ALL
-    repeat_window: float = 0.0
-    value: float = 1.0
+    repeat_window: float = 0.0  # seconds in which servers recognise a repeat of a keyed request
+    value: float = 1.0  # requests of higher value leave the origin queue first
     client_timeout: float = math.inf  # the longest that a client waits
 
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """What a router is told once, at its start. Only fields that decisions or a host use are kept."""
+    """A router's settings, fixed at its start; only those that the module or a host uses."""
 
     classes: dict[str, RequestClass]
     timer_resolution: float = 0.005
-    aside: bool = False  # a miss is ours to fetch from the origin
+    aside: bool = False  # cache-aside: after a miss the router itself fetches from the origin
     origin_kind: str | None = None
-    live_weights: bool = False  # a weight falls with its server's load
-    subscribe: bool = False  # changes of the list come only after asking
+    live_weights: bool = False  # listed weights fall as their server's load rises
+    subscribe: bool = False  # list changes are delivered only after a `Subscribe`
     second_copies: bool = False
     may_cancel: bool = False
     gossip_enabled: bool = False  # routers may send each other messages
     max_attempts: int = 1
-    siblings: int = 1  # routers in all
-    sibling_index: int = 0  # of this one among them
-    idle_timeout: float = 60.0  # after this a host closes an idle connection by itself
-    dial_timeout: float = 0.25  # a connection that is not up by then has failed
-    max_retry_after: float = 0.0  # longest time to come back that clients honour
+    siblings: int = 1  # number of routers, this one included
+    sibling_index: int = 0  # of this router among its siblings, from 0
+    idle_timeout: float = 60.0  # after this the host closes an idle connection by itself
+    dial_timeout: float = 0.25  # a connection that is not established by then has failed
+    max_retry_after: float = 0.0  # longest retry-after that clients honour
     connection_cost: float = 0.0  # of 100 open connections at every server
     handshake_cost: float = 0.0  # of a new connection for every request
-    cold_share: float = 0.3
-    ramp: float = 10.0
-    overload_factor: float = 2.0
-    overload_window: float = 1.0
-    drain_grace: float = 1.0  # from then on nothing may go to a server that is told to drain
-    max_list_age: float = 10.0  # a router that has not asked for as long counts as told what was listed then
+    cold_share: float = 0.3  # share of its usual load that a server can take right after its start
+    ramp: float = 10.0  # seconds until a started server can take all of its usual load
+    overload_factor: float = 2.0  # a cold server fails at this multiple of the load that it can take
+    overload_window: float = 1.0  # seconds over which that load is counted
+    drain_grace: float = 1.0  # seconds from the drain notice until no new request may go to the server
+    # a router that has not polled discovery for this long is held to know what was listed by then
+    max_list_age: float = 10.0
 
     @property
     def shortest_aim(self) -> float:
-        """Seconds in which answers are wanted by the class in the most haste."""
+        """The shortest aim of any request class, in seconds."""
         return min(c.aim for c in self.classes.values())
 
 
 @dataclass(slots=True, frozen=True)
 class ServerEntry:
-    """One line of the list of servers."""
+    """One entry of the server list."""
 
     server: str
     state: ServerState = ServerState.READY
@@ -129,17 +131,17 @@
     zone: str = ""
     cell: int = 0
     weight: float = 0.0
-    started_at: float = 0.0  # time of the latest start; 0 is long ago
+    started_at: float = 0.0  # latest start of its process; 0 if it started long ago
 
     @property
     def ready(self) -> bool:
-        """Whether it may be sent anything new."""
+        """Whether new requests may be sent to the server."""
         return self.state is ServerState.READY
 
 
 @dataclass(slots=True, frozen=True)
 class ServerList:
-    """News of the list of servers."""
+    """A new server list, changes to the current one, or the failure to get either."""
 
     kind: ListKind
     entries: tuple[ServerEntry, ...] = ()
@@ -147,7 +149,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Request:
-    """A client's request; it is owed exactly one final answer within `time_left`."""
+    """A client's request; it must get exactly one final answer within `time_left` seconds."""
 
     request_id: str
     request_class: str
@@ -159,7 +161,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ResponseStarted:
-    """The answer of an attempt has begun to flow to the client."""
+    """The first bytes of an attempt's answer have been passed to the client."""
 
     request_id: str
     attempt: int
@@ -167,7 +169,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Outcome:
-    """The end of an attempt; `closed` when the request itself has ended."""
+    """An attempt has ended; with `request_done` the request has ended too."""
 
     request_id: str
     attempt: int
@@ -178,28 +180,28 @@
 
 @dataclass(slots=True, frozen=True)
 class ClientGone:
-    """The client left; nothing is owed any more."""
+    """The client has disconnected, so the request needs no answer any more."""
 
     request_id: str
 
 
 @dataclass(slots=True, frozen=True)
 class Shutdown:
-    """The router has been told to end: every request must have its final answer within `time_left`."""
+    """The router is shutting down: every request must get its final answer within `time_left` seconds."""
 
     time_left: float
 
 
 @dataclass(slots=True, frozen=True)
 class TimerFired:
-    """A timer set earlier is due."""
+    """A timer set by `SetTimer` is due."""
 
     token: str
 
 
 @dataclass(slots=True, frozen=True)
 class PeerMessage:
-    """What another router told; it may be garbled."""
+    """A gossip message from another router; it may be corrupt."""
 
     content: bytes
 
@@ -209,31 +211,31 @@
 
 @dataclass(slots=True, frozen=True)
 class Send:
-    """Start an attempt; a request's attempts are numbered from 0 in the order sent."""
+    """Start an attempt; the attempts of a request are numbered from 0 in the order of their sends."""
 
     request_id: str
     server: str
-    timeout: float | None = None  # None: until the client gives up
+    timeout: float | None = None  # None: until the client's deadline
 
 
 @dataclass(slots=True, frozen=True)
 class Refuse:
-    """Final answer: not done, and trying again is harmless."""
+    """Final answer: no result, and a retry by the client is harmless."""
 
     request_id: str
-    retry_after: float = 0.0  # how long the client should wait before that; 0 is no advice
+    retry_after: float = 0.0  # seconds that the client should wait before a retry; 0 for no advice
 
 
 @dataclass(slots=True, frozen=True)
 class Fail:
-    """Final answer that promises nothing."""
+    """Final answer: no result, and the request may or may not have been carried out."""
 
     request_id: str
 
 
 @dataclass(slots=True, frozen=True)
 class Cancel:
-    """Stop waiting for an attempt; whether the server stops work is its own matter."""
+    """Stop waiting for an attempt; the server may still carry it out."""
 
     request_id: str
     attempt: int
@@ -241,14 +243,14 @@
 
 @dataclass(slots=True, frozen=True)
 class CloseIdle:
-    """Close idle connections to a server."""
+    """Close the idle connections to a server."""
 
     server: str
 
 
 @dataclass(slots=True, frozen=True)
 class SetTimer:
-    """Ask for a `TimerFired` after a delay."""
+    """Deliver a `TimerFired` with this token after `delay` seconds."""
 
     delay: float
     token: str
@@ -256,19 +258,19 @@
 
 @dataclass(slots=True, frozen=True)
 class Subscribe:
-    """Ask for the list and its changes from now on."""
+    """Ask discovery for the server list and all changes from now on."""
 
 
 @dataclass(slots=True, frozen=True)
 class Broadcast:
-    """Send something to every peer, at most 256 bytes; it may get lost."""
+    """Send a message of at most 256 bytes to every peer, without guaranteed delivery."""
 
     content: bytes
 
 
 @dataclass(slots=True, frozen=True)
 class Log:
-    """One line for staff."""
+    """Write one line to the operators' log."""
 
     text: str
 
