--- a/brackenwalk/state.py
+++ b/brackenwalk/state.py
@@ -1,4 +1,4 @@
-"""What a router holds of servers, attempts and requests."""
+"""What a router records about servers, zones, attempts and pending requests."""
 
 from __future__ import annotations
 
@@ -7,69 +7,70 @@
 
 from brackenwalk import interface as api
 
-INITIAL_LIMIT = 4.0  # first guess of what one router may have out at a server; moves within seconds
+INITIAL_LIMIT = 4.0  # attempts in flight at a server before its limit has adapted, which takes seconds
 
 
 @dataclass(slots=True, eq=False)
 class Server:
-    """A listed server as this router sees it."""
+    """A listed cache server or origin, with what this router has measured of it."""
 
     entry: api.ServerEntry
-    is_cache: bool = True  # or the origin
-    name_hash: int = 0  # to peers: 32 bits of its name's hash
-    in_flight: int = 0  # own attempts in flight
-    ring_weight: float = 1.0  # its weight, steady
-    reported_load: float = 0.0  # requests held for each unit of size, by all routers, seconds ago
-    limit: float = INITIAL_LIMIT  # of own attempts in flight
-    limit_cut_at: float = -math.inf
-    latency: float = 0.0  # smoothed
-    latency_ratio: float = 0.0  # smoothed share of the target that answers take, as one says little
-    unanswered_since: float = math.inf  # first send since its last answer
-    last_answered_send: float = -math.inf  # latest send that was answered
-    last_used_at: float = 0.0  # last end of an attempt
-    idle_check_at: float = math.inf  # when a timer will look at its idle connections
-    consecutive_failures: int = 0  # failures since its last good answer
-    health: float = 1.0  # share of its points that it kept when some router last found it ailing
-    health_cut_at: float = -math.inf
+    is_cache: bool = True  # False for an origin
+    name_hash: int = 0  # 32 bits of the hash of its name, by which gossip messages name it
+    in_flight: int = 0  # this router's open attempts
+    ring_weight: float = 1.0  # on the ring; unlike the listed weight it does not fall with load
+    reported_load: float = 0.0  # requests of all routers per unit of weight, as listed some seconds ago
+    limit: float = INITIAL_LIMIT  # concurrency limit on `in_flight`
+    limit_cut_at: float = -math.inf  # time of the latest cut of the limit
+    latency: float = 0.0  # smoothed, in seconds
+    latency_ratio: float = 0.0  # smoothed latency over target latency; a single answer says little
+    unanswered_since: float = math.inf  # first send after its latest answer
+    last_answered_send: float = -math.inf  # time of the latest send that got an answer
+    last_used_at: float = 0.0  # latest end of an attempt
+    idle_check_at: float = math.inf  # when the pending timer will check its idle connections
+    consecutive_failures: int = 0
+    health: float = 1.0  # share of its virtual nodes left to it when a router last found it unhealthy
+    health_cut_at: float = -math.inf  # time of that cut
 
 
 @dataclass(slots=True, eq=False)
 class Zone:
-    """What is known of a zone's cache servers as a whole."""
+    """What is known of all cache servers of a zone together."""
 
-    last_answer_at: float = -math.inf  # latest answer of any of them
-    unanswered: int = 0  # attempts since then that came to nothing
+    last_answer_at: float = -math.inf  # latest answer from any of them
+    unanswered: int = 0  # attempts without an answer since then
     last_send_at: float = -math.inf  # latest send to any of them
-    outage_began_at: float = -math.inf  # latest answer before it said nothing for a while
-    outage_ended_at: float = -math.inf  # first answer after that
+    outage_began_at: float = -math.inf  # last answer before the latest outage
+    outage_ended_at: float = -math.inf  # first answer after it
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One send of a request."""
+    """One send of a request to one server."""
 
     server: Server
-    target_latency: float  # slower than this means too many are out
+    target_latency: float  # a slower answer means that the server has too many requests in flight
     sent_at: float
-    open: bool = True
-    may_have_run: bool = True  # until an outcome proves the contrary
-    copy_due_at: float = math.inf  # from then on a copy may go out
-    counted_unanswered: bool = False  # counted against its server's zone
+    open: bool = True  # no outcome yet
+    may_have_run: bool = True  # until an outcome proves that it did not
+    copy_due_at: float = math.inf  # from then on a second copy may be sent
+    counted_unanswered: bool = False  # already counted in its zone's `unanswered`
 
 
 @dataclass(slots=True, eq=False)
 class PendingRequest:
-    """A request that is owed its final answer."""
+    """A request that has not had its final answer yet."""
 
     request: api.Request
     request_class: api.RequestClass
-    deadline: float  # no use in waiting for longer
+    deadline: float  # an answer after it is of no use
     to_origin: bool
-    ring_position: int  # of its key on the ring
+    ring_position: int  # of its key
     attempts: list[Attempt] = field(default_factory=list)
-    waiting: bool = False  # for a place at the origin, or for any server at all
+    waiting: bool = False  # queued, for a free slot at the origin or for any usable server
     response_started: bool = False
-    skipped_cold: bool = False  # a cold server that was met does not bear it
+    skipped_cold: bool = False  # its walk last passed a cold server that does not accept it
 
     def open_attempts(self) -> int:
+        """The number of attempts without an outcome."""
         return sum(a.open for a in self.attempts)
