--- a/brackenwalk/interface.py
+++ b/brackenwalk/interface.py
@@ -91,7 +91,7 @@
     """A router's settings, fixed at its start; only those that the module or a host uses."""
 
     classes: dict[str, RequestClass]
-    timer_resolution: float = 0.005
+    resolution: float = 0.005
     aside: bool = False  # cache-aside: after a miss the router itself fetches from the origin
     origin_kind: str | None = None
     live_weights: bool = False  # listed weights fall as their server's load rises
@@ -151,7 +151,7 @@
 class Request:
     """A client's request; it must get exactly one final answer within `time_left` seconds."""
 
-    request_id: str
+    id: str
     request_class: str
     time_left: float
     key: str | None = None
--- a/brackenwalk/policy.py
+++ b/brackenwalk/policy.py
@@ -1,7 +1,7 @@
-"""Every decision of a router, a state machine without I/O, in the terms of `brackenwalk/interface.py`.
+"""The router's decisions: a state machine without I/O, with the events of `brackenwalk/interface.py`.
 
-Each key is hashed onto a ring of weighted virtual nodes and sent to the first server clockwise; the walk
-goes on past servers whose load has reached (1 + epsilon) times the average.
+Each key is hashed onto a ring of weighted virtual nodes and goes to the first server clockwise; with bounded
+loads the walk passes servers whose load has reached (1 + epsilon) times the average.
 """
 
 from __future__ import annotations
@@ -19,41 +19,27 @@
 from brackenwalk.state import Attempt, PendingRequest, Server
 from brackenwalk.telling import Telling
 
-VIRTUAL_NODES = 128  # virtual nodes of a server as large as the unit of weight: shares within a tenth or so
-MAX_WALK_NODES = 64  # points a walk goes at most: no tour of the fleet for each request when all is crowded
-FREE_BUSY_RETRY_SHARE = (
-    0.3  # of own attempts answered well: above it a refusal as full, being cheap, spends no retry
-)
-MAX_QUEUE_WAIT_SHARE = (
-    0.25  # of the time left that may be spent waiting behind what a server is reported to hold
-)
-MAX_SPILL_SERVERS = (
-    2  # servers a key may visit: further on they lack it, and a crowd of hits would turn into misses
-)
-ORIGIN_TARGET_SHARE = 0.5  # of the aim, as CACHE_TARGET_SHARE: the origin is slow by nature
-FETCH_LATENCY_FACTOR = (
-    2.0  # times the usual latency that must be left: a fetch given up midway is not even stored
-)
-SMOOTHING_FACTOR = 0.2  # of the latest sample in a mean; five answers or so are remembered
-LIMIT_CUT_FACTOR = (
-    0.75  # soon enough to empty a crowded server within a few rounds; a tenth took many seconds
-)
-RETRIES_PER_REQUEST = (
-    0.2  # retries for each request taken: enough for a server lost, too few to feed an overload
-)
-MAX_RETRY_BUDGET = 10.0  # unspent retries kept, so that those of a lost server can all go at once
-LOST_LATENCY_FACTOR = 8.0  # times the usual latency: an answer that has not come by then is taken for lost
-SILENCE_FACTOR = 1.0  # shortest aims without any answer: longer than pauses, soon enough to matter
-FAILURE_THRESHOLD = 3  # failures in a row that are no chance; from then on one trial every SILENCE_FACTOR
-IDLE_KEEP_SHARE = 0.5  # of the idle time at which a connection costs as much as the handshake it saves
-IDLE_KEEP_RECOVERY_SHARE = (
-    0.01  # of the way back to IDLE_KEEP_SHARE with each answer, after failures have cut it by half each
-)
+VNODES = 128  # of a server of unit weight; its share of the keys is then right within about 10 %
+MAX_WALK_NODES = 64  # bounds the cost of a request when every server is at its limit
+FREE_RETRY_SHARE = 0.3  # of successful attempts: above it, retries after a BUSY are cheap and cost no budget
+MAX_WAIT_SHARE = 0.25  # of the time left that may be spent waiting behind a server's reported load
+MAX_SPILL = 2  # full servers that a walk meets: those further on lack the key, so hits would become misses
+ORIGIN_TARGET_SHARE = 0.5  # of the aim, like CACHE_TARGET_SHARE; an origin is slow by nature
+FETCH_FACTOR = 2.0  # times the usual latency that a fetch must have left: one cut short is not even stored
+EWMA_WEIGHT = 0.2  # of the latest sample: averages cover the last five answers or so
+LIMIT_FACTOR = 0.75  # of each cut: empties an overloaded server in a few round trips; 0.9 took many seconds
+RETRY_SHARE = 0.2  # retries earned by a request: enough for one lost server, too few to feed an overload
+MAX_RETRY_BUDGET = 10.0  # unspent retries kept, so that all requests of a lost server can retry at once
+LOST_FACTOR = 8.0  # times the usual latency after which an answer counts as lost
+SILENT_AIMS = 1.0  # shortest aims without any answer: longer than usual pauses, soon enough to matter
+MAX_FAILURES = 3  # in a row, too many for chance; from then on one trial every SILENT_AIMS
+KEEP_SHARE = 0.5  # of the idle time after which a connection has cost as much as a new handshake
+KEEP_RECOVERY_SHARE = 0.01  # of the way back to KEEP_SHARE per outcome; each failed dial halves the share
 NO_ANSWER = (api.Status.TIMEOUT, api.Status.CANCELLED, api.Status.UNSENT)
 
 
 class Router:
-    """The decisions of one router."""
+    """The state machine of one router: `handle` takes each event and returns the actions to carry out."""
 
     def __init__(self, settings: api.Settings, seed: int, now: float) -> None:
         self.settings = settings
@@ -61,29 +47,25 @@
         self.now, self.random = now, random.Random(seed)
         self.actions: list[api.Action] = []
         self.servers: dict[str, Server] = {}
-        self.servers_by_hash: dict[int, Server] = {}  # as peers name them
+        self.servers_by_hash: dict[int, Server] = {}  # by the hash that peers name them by
         self.ring: Ring[Server] = Ring()
         self.calls = Calls(settings, self.random, now)
         self.gossip = Telling(settings, self.random, now)
         self.demand = self.gossip.demand
         self.shares = TrafficShares(settings, self.demand, now)
-        self.max_weights: dict[str, float] = {}  # the largest weight seen of a kind
+        self.weights: dict[str, float] = {}  # the largest weight seen of each kind
         self.pending: dict[str, PendingRequest] = {}
         self.attempts: dict[tuple[str, int], Attempt] = {}
-        self.queue: list[
-            tuple[float, int, PendingRequest]
-        ] = []  # for the origin, or any server: worth, then age
-        self.queue_sequence = self.request_count = 0
-        self.retry_budget, self.keep_factor = MAX_RETRY_BUDGET, IDLE_KEEP_SHARE
+        self.queue: list[tuple[float, int, PendingRequest]] = []  # by value, then age
+        self.queue_sequence = self.accepted = 0
+        self.retry_budget, self.keep = MAX_RETRY_BUDGET, KEEP_SHARE
         self.started_at = now
-        self.shutdown_at = math.inf  # by then all are answered
+        self.stop_at = math.inf  # deadline of all requests during shutdown
         self._build_ring()
-        self.wait_per_request = (
-            0.0  # smoothed latency for each request held a unit of size, the one in hand included
-        )
+        self.mean_wait = 0.0  # smoothed latency per request held by a unit of weight, this one included
 
     def handle(self, now: float, event: api.Event) -> list[api.Action]:
-        """Take one event and answer with actions, to be carried out in order."""
+        """Take one event; returns the actions to carry out, in order."""
         self.now, self.shares.now, self.actions = now, now, []
         if isinstance(event, api.Outcome):
             self._on_outcome(event)
@@ -94,10 +76,10 @@
         elif isinstance(event, api.ServerList):
             self._on_list(event)
         elif isinstance(event, api.PeerMessage):
-            for name in self.gossip.hear(event.content, now):
-                if name in self.servers_by_hash:
-                    self.shares.cut_health(self.servers_by_hash[name])
-                    self.gossip.drop(self.servers_by_hash[name])
+            for name_hash in self.gossip.hear(event.content, now):
+                if name_hash in self.servers_by_hash:
+                    self.shares.cut_health(self.servers_by_hash[name_hash])
+                    self.gossip.drop(self.servers_by_hash[name_hash])
         elif isinstance(event, api.ClientGone) and event.request_id in self.pending:
             self._remove(self.pending[event.request_id])
         elif isinstance(event, api.ResponseStarted) and event.request_id in self.pending:
@@ -107,17 +89,17 @@
         return self.actions
 
     def _on_shutdown(self, event: api.Shutdown) -> None:
-        """Wait for nothing that would come after the end."""
-        self.shutdown_at = self.now + event.time_left - self.settings.timer_resolution
-        for pending in self.pending.values():
-            pending.deadline = min(pending.deadline, self.shutdown_at)
-            if pending.waiting:
-                self._set_wait_timer(pending)
+        """Bring the deadlines of pending requests forward to the shutdown."""
+        self.stop_at = self.now + event.time_left - self.settings.resolution
+        for req in self.pending.values():
+            req.deadline = min(req.deadline, self.stop_at)
+            if req.waiting:
+                self._set_wait_timer(req)
 
     def _on_list(self, event: api.ServerList) -> None:
         if event.kind is api.ListKind.FAILED:
             self.actions.append(api.SetTimer(self.calls.failed(self.now), "list"))
-            self.actions.append(api.Log(f"list out of reach, {self.calls.failures} in a row"))
+            self.actions.append(api.Log(f"discovery out of reach, {self.calls.failures} in a row; list kept"))
             return
         if event.kind is api.ListKind.MOVED:
             self.actions.append(api.SetTimer(self.calls.moved(), "list"))
@@ -129,26 +111,24 @@
             known = self.servers.get(entry.server)
             if entry.state is api.ServerState.GONE:
                 self._remove_server(entry.server)
-            elif (
-                known is None or entry.started_at > known.entry.started_at
-            ):  # a new process: nothing learned holds
+            elif known is None or entry.started_at > known.entry.started_at:  # new process: start afresh
                 self._remove_server(entry.server)
                 origin = self.settings.aside and entry.kind == self.settings.origin_kind
-                name = ring_hash(entry.server)[0] >> 32
-                self.servers[entry.server] = self.servers_by_hash[name] = Server(entry, not origin, name)
+                hashed = ring_hash(entry.server)[0] >> 32
+                self.servers[entry.server] = self.servers_by_hash[hashed] = Server(entry, not origin, hashed)
             else:
                 known.entry = entry
         if event.entries or event.kind is not api.ListKind.DELTA:
-            self._build_ring()  # a watch's end with no news, one every few seconds, changes nothing
+            self._build_ring()  # not for a watch that ends without changes, as one does every few seconds
         if event.kind is not api.ListKind.SAVED:
             self.calls.listed(self.now)
         elif self.settings.subscribe:
-            # guards against asking in step: a call that waits too long fails, and is still worked through
+            # guards against calls in step: one that queues too long fails, and discovery still works it off
             self.actions.append(api.SetTimer(self.calls.until_turn(self.now), "list"))
         queue, self.queue = sorted(self.queue), []
-        for pending in (q[2] for q in queue if q[2].waiting):
-            pending.waiting = False
-            self._advance(pending)
+        for req in (q[2] for q in queue if q[2].waiting):
+            req.waiting = False
+            self._advance(req)
 
     def _remove_server(self, name: str) -> None:
         if name in self.servers:
@@ -158,119 +138,102 @@
             self.gossip.drop(server)
 
     def _build_ring(self) -> None:
-        """Points follow the size of a server alone, so that others coming or going move none of them."""
+        """Place servers by their own weight alone, so that others joining or leaving move no nodes."""
         caches = self.caches = [s for s in self.servers.values() if s.is_cache and s.entry.ready]
         self.origins = [s for s in self.servers.values() if not s.is_cache and s.entry.ready]
         self.shares.update_servers(caches)
         for s in caches:
-            s.ring_weight = s.entry.weight
+            s.weight = s.entry.weight
             if self.settings.live_weights:
-                # live weights fall with load and come late: on the ring they moved keys with every list
-                s.ring_weight = self.max_weights[s.entry.kind] = max(
-                    self.max_weights.get(s.entry.kind, 0.0), s.ring_weight
-                )
-                s.reported_load = s.ring_weight / s.entry.weight - 1 if s.entry.weight else 0.0
-        largest = (
-            max((s.ring_weight for s in caches), default=0.0) or 1.0
-        )  # and what a missing weight counts as
-        unit = 2.0 ** math.ceil(math.log2(largest))  # rarely changes with the fleet
+                # live weights fall with load and arrive late: on the ring they moved keys with every list
+                s.weight = self.weights[s.entry.kind] = max(self.weights.get(s.entry.kind, 0.0), s.weight)
+                s.reported_load = s.weight / s.entry.weight - 1 if s.entry.weight else 0.0
+        largest = max((s.weight for s in caches), default=0.0) or 1.0  # also for a missing weight
+        unit = 2.0 ** math.ceil(math.log2(largest))  # a power of two, which rarely changes with the fleet
         for s in self.servers.values():
-            s.ring_weight = s.ring_weight or largest
+            s.weight = s.weight or largest
             self.ring.place(
-                s,
-                s.entry.server,
-                math.ceil(VIRTUAL_NODES * s.ring_weight / unit) if s.is_cache and s.entry.ready else 0,
+                s, s.entry.server, math.ceil(VNODES * s.weight / unit) if s.is_cache and s.entry.ready else 0
             )
         self.ring.settle()
-        self.shares.total_weight = sum(s.ring_weight for s in caches)
+        self.shares.total_weight = sum(s.weight for s in caches)
         self.mean_reported = sum(s.reported_load for s in caches) / max(1, len(caches))
 
     def _origin(self) -> Server | None:
-        """The least loaded origin member that may be sent to."""
+        """The origin with the fewest requests in flight, of those that are ready."""
         return min(self.origins, key=lambda s: s.in_flight, default=None)
 
-    def _choose(self, pending: PendingRequest) -> Server | None:
-        """The bounded walk: a key's load flows clockwise, and each server keeps (1 + epsilon) fair shares."""
-        portions = self.shares.hot_key_shares.get(pending.ring_position >> 32, {})
+    def _choose(self, req: PendingRequest) -> Server | None:
+        """Walk with bounded loads: load beyond (1 + epsilon) fair shares of a server spills clockwise."""
+        portions = self.shares.hot_key_shares.get(req.ring_position >> 32, {})
         planned = sum(portions.values())
         flow = self.random.random() * planned
-        cap = (1 + EPSILON) * max(1.0, self.mean_reported)  # passed by chance: all read the same late report
-        crowded = 0
+        cap = (1 + EPSILON) * max(1.0, self.mean_reported)  # at random, as all routers read one late report
+        full = 0
         best = None
-        for server in self._clockwise(pending.ring_position):
-            if self._eligible(pending, server):
+        for server in self._clockwise(req.ring_position):
+            if self._eligible(req, server):
                 portion = portions.get(server, 0.0)
                 flow -= portion
-                takes = not self.shares.is_cold(server) or self._cold_server_accepts(
-                    pending, server, portion / planned if portion else 1.0
+                accepts = not self.shares.is_cold(server) or self._cold_accepts(
+                    req, server, portion / planned if portion else 1.0
                 )
-                if flow <= 0 and takes and server.reported_load * self.random.random() <= cap:
+                if flow <= 0 and accepts and server.reported_load * self.random.random() <= cap:
                     return server
                 best = best or (None if self.shares.is_cold(server) else server)
             elif server.in_flight >= server.limit and server not in portions and not self._is_silent(server):
-                crowded += 1
-                if crowded >= MAX_SPILL_SERVERS:
+                full += 1
+                if full >= MAX_SPILL:
                     break
-        return best  # all over the cap: then it is as good as any, and likelier to have the key
-
-    def _cold_server_accepts(self, pending: PendingRequest, server: Server, planned: float) -> bool:
-        """Whether a cold server takes this of its part: no retries, nor what others have no place for."""
-        key = pending.ring_position >> 32
-        part = self.shares.max_key_share(key, server) / planned  # of the part that it is planned to get
-        # guards the origin: split by chance, each small key would be fetched for two servers
-        small = self.demand.share(key) < HOT * server.ring_weight / self.shares.total_weight
-        draw = (pending.ring_position & 0xFFFFFFFF) / 2**32 if small else self.random.random()
-        pending.skipped_cold = bool(pending.attempts) or draw >= part
-        return not pending.skipped_cold
+        return best  # all exceed the cap: the first is as good as any and likelier to have the key
+
+    def _cold_accepts(self, req: PendingRequest, server: Server, planned: float) -> bool:
+        """Whether a cold server takes the request: of its own share only, and never a retry."""
+        key = req.ring_position >> 32
+        part = self.shares.key_share(key, server) / planned  # of its planned portion
+        # guards the origin: split at random, each small key would be fetched for two servers
+        small = self.demand.share(key) < HOT * server.weight / self.shares.total_weight
+        draw = (req.ring_position & 0xFFFFFFFF) / 2**32 if small else self.random.random()
+        req.skipped_cold = bool(req.attempts) or draw >= part
+        return not req.skipped_cold
 
     def _clockwise(self, position: int) -> Iterator[Server]:
-        """Each server once, in the order that a walk meets it."""
-        passed: set[Server] = set()
+        """Yield each server once, in the order of the walk."""
+        seen: set[Server] = set()
         for server, rank in self.ring.clockwise(position, MAX_WALK_NODES):
-            # all leave out the same points of one that ails; none spills to a cold one
-            if (
-                server in passed
-                or rank > self.shares.kept_share(server)
-                or (passed and self.shares.is_cold(server))
-            ):
+            # all routers skip the same nodes of an unhealthy server; nothing spills to a cold one
+            if server in seen or rank > self.shares.kept(server) or (seen and self.shares.is_cold(server)):
                 continue
-            passed.add(server)
+            seen.add(server)
             yield server
 
-    def _refuses_early(self, pending: PendingRequest, server: Server) -> bool:
-        """Refuses by chance what would wait too long. Guards against rooms so full that all is late."""
-        crowd = (
-            server.reported_load / MAX_QUEUE_WAIT_SHARE if self.settings.live_weights else 1.0
-        )  # told, or seen in own waits
-        return self.random.random() * self.wait_per_request * crowd > pending.deadline - self.now
+    def _refuses_early(self, req: PendingRequest, server: Server) -> bool:
+        """Refuse at random what, by reported load or own waits, comes too late; full queues make all late."""
+        load = server.reported_load / MAX_WAIT_SHARE if self.settings.live_weights else 1.0
+        return self.random.random() * self.mean_wait * load > req.deadline - self.now
 
-    def _eligible(self, pending: PendingRequest, server: Server) -> bool:
-        """Whether a server may take the request now."""
+    def _eligible(self, req: PendingRequest, server: Server) -> bool:
+        """Whether the request may go to a server now."""
         silent = server.in_flight and self._is_silent(server)
         if silent:
             self._mark_unhealthy(server)
         full = server.in_flight >= server.limit or silent
-        tried = any(a.server is server for a in pending.attempts)
-        faulty = (
-            server.consecutive_failures >= FAILURE_THRESHOLD
-            and self.now - server.last_used_at < SILENCE_FACTOR * self.shortest_aim
-        )
-        return not (full or tried or faulty or self._zone_unreachable(server)) and self._permits(
-            pending, server
-        )
-
-    def _zone_unreachable(self, server: Server) -> bool:
-        """Whether the server's zone gives no sign of life; then one trial at a time, as with a server."""
+        tried = any(a.server is server for a in req.attempts)
+        down = server.failures >= MAX_FAILURES and self.now - server.used_at < SILENT_AIMS * self.shortest_aim
+        return not (full or tried or down or self._zone_down(server)) and self._permits(req, server)
+
+    def _zone_down(self, server: Server) -> bool:
+        """Whether no server of its zone answers; the zone then gets one trial every SILENT_AIMS."""
         zone = self.shares.zones.get(server.entry.zone) if len(self.shares.zones) > 1 else None
-        if zone is None or zone.unanswered < FAILURE_THRESHOLD:
+        if zone is None or zone.unanswered < MAX_FAILURES:
             return False
-        return self.now - zone.last_send_at < SILENCE_FACTOR * self.shortest_aim
+        return self.now - zone.last_send_at < SILENT_AIMS * self.shortest_aim
 
     def _count_unanswered(self, attempt: Attempt) -> None:
-        """Count an attempt that came to nothing while its whole zone said nothing."""
+        """Count an attempt without an answer if its whole zone has not answered since its send."""
         zone = self.shares.zones.get(attempt.server.entry.zone) if attempt.server.is_cache else None
-        if zone is not None and zone.last_answer_at < attempt.sent_at and not attempt.counted_unanswered:
-            attempt.counted_unanswered = True
+        if zone is not None and zone.last_answer_at < attempt.sent_at and not attempt.counted:
+            attempt.counted = True
             zone.unanswered += 1
 
     def _mark_unhealthy(self, server: Server) -> None:
@@ -278,159 +241,137 @@
             self.gossip.found(server)
 
     def _is_silent(self, server: Server) -> bool:
-        """Whether a server owes us an answer and has given none, to anything, for too long."""
-        return self.now - server.unanswered_since > SILENCE_FACTOR * self.shortest_aim
+        """Whether a server has requests in flight and has answered none of them for too long."""
+        return self.now - server.unanswered_since > SILENT_AIMS * self.shortest_aim
 
     def _on_request(self, request: api.Request) -> None:
-        kind = self.settings.classes.get(request.request_class)
-        if kind is None:  # counted as demand, what is never sent would push aside what is
-            self.actions.append(api.Refuse(request.request_id))
+        spec = self.settings.classes.get(request.request_class)
+        if spec is None:  # counted as demand, what is never sent would displace what is
+            self.actions.append(api.Refuse(request.id))
             return
-        until = min(
-            self.shutdown_at, self.now + min(request.time_left - self.settings.timer_resolution, kind.aim)
-        )
-        position = ring_hash(request.request_id if request.key is None else request.key)[0]
+        deadline = min(self.stop_at, self.now + min(request.time_left - self.settings.resolution, spec.aim))
+        position = ring_hash(request.id if request.key is None else request.key)[0]
         to_origin = self.settings.aside and request.write
-        pending = self.pending[request.request_id] = PendingRequest(request, kind, until, to_origin, position)
-        self.request_count += 1
-        if not pending.to_origin:
-            self.demand.add(pending.ring_position >> 32)
+        req = self.pending[request.id] = PendingRequest(request, spec, deadline, to_origin, position)
+        self.accepted += 1
+        if not req.to_origin:
+            self.demand.add(req.ring_position >> 32)
         if self.caches and self.gossip.due(self.now):
             self.shares.plan(self._clockwise, self.ring.first)
             if message := self.gossip.message(self.now):
                 self.actions.append(api.Broadcast(message))
-        self.retry_budget = min(MAX_RETRY_BUDGET, self.retry_budget + RETRIES_PER_REQUEST)
-        self._advance(pending)
-
-    def _permits(self, pending: PendingRequest, server: Server | None) -> bool:
-        """What the class still permits: another send to this server or, with None, a refusal."""
-        kind = pending.request_class
-        ran = [a for a in pending.attempts if a.may_have_run]
-        waits = pending.open_attempts() and not self.settings.second_copies
-        if server is not None and (waits or len(pending.attempts) >= self.settings.max_attempts):
+        self.retry_budget = min(MAX_RETRY_BUDGET, self.retry_budget + RETRY_SHARE)
+        self._advance(req)
+
+    def _permits(self, req: PendingRequest, server: Server | None) -> bool:
+        """Whether the class permits another send to this server or, with None, a refusal."""
+        spec = req.request_class
+        ran = [a for a in req.attempts if a.may_have_run]
+        waits = req.open_attempts() and not self.settings.second_copies
+        if server is not None and (waits or len(req.attempts) >= self.settings.max_attempts):
             return False
-        if kind.retry_safety is api.RetrySafety.SAFE or not ran:
+        if spec.retry_safety is api.RetrySafety.SAFE or not ran:
             return True
-        if kind.retry_safety is api.RetrySafety.UNSAFE or server is None:
-            return kind.retry_safety is api.RetrySafety.KEYED and kind.repeat_group is api.RepeatGroup.ALL
-        # guards against a second effect: a connection may have to come up first
-        in_window = self.now + self.settings.dial_timeout < min(a.sent_at for a in ran) + kind.repeat_window
-        return in_window and all(kind.repeat_group.shared_by(a.server.entry, server.entry) for a in ran)
-
-    def _advance(self, pending: PendingRequest) -> None:
-        """Send the next attempt, hold the request for one, or end it."""
-        to_ring = self.caches and not pending.to_origin
-        server = self._choose(pending) if to_ring else self._origin()
-        if (
-            self.now >= pending.deadline
-            or (server is None or not self._permits(pending, server))
-            and pending.attempts
-        ):
-            self._finish(pending)
+        if spec.retry_safety is api.RetrySafety.UNSAFE or server is None:
+            return spec.retry_safety is api.RetrySafety.KEYED and spec.repeat_group is api.RepeatGroup.ALL
+        # guards against a second effect: a dial may delay the send past the window
+        in_window = self.now + self.settings.dial_timeout < min(a.sent_at for a in ran) + spec.repeat_window
+        return in_window and all(spec.repeat_group.shared_by(a.server.entry, server.entry) for a in ran)
+
+    def _advance(self, req: PendingRequest) -> None:
+        """Send the next attempt, queue the request, or finish it."""
+        to_ring = self.caches and not req.to_origin
+        server = self._choose(req) if to_ring else self._origin()
+        if self.now >= req.deadline or (server is None or not self._permits(req, server)) and req.attempts:
+            self._finish(req)
         elif not to_ring:
-            self._enqueue(pending)
-        elif server is None or self._refuses_early(pending, server):
-            self._finish(pending)
+            self._enqueue(req)
+        elif server is None or self._refuses_early(req, server):
+            self._finish(req)
         else:
-            self._send(pending, server)
-
-    def _send(self, pending: PendingRequest, server: Server) -> None:
-        target = (CACHE_TARGET_SHARE if server.is_cache else ORIGIN_TARGET_SHARE) * pending.request_class.aim
-        attempt = self.attempts[pending.request.request_id, len(pending.attempts)] = Attempt(
-            server, target, self.now
-        )
-        pending.attempts.append(attempt)
+            self._send(req, server)
+
+    def _send(self, req: PendingRequest, server: Server) -> None:
+        target = (CACHE_TARGET_SHARE if server.is_cache else ORIGIN_TARGET_SHARE) * req.request_class.aim
+        attempt = self.attempts[req.request.id, len(req.attempts)] = Attempt(server, target, self.now)
+        req.attempts.append(attempt)
         server.in_flight += 1
         server.unanswered_since = min(server.unanswered_since, self.now)
         if server.is_cache and (zone := self.shares.zones.get(server.entry.zone)) is not None:
             zone.last_send_at = self.now
-        self.actions.append(api.Send(pending.request.request_id, server.entry.server))
-        self._schedule_copy(pending, attempt)
-
-    def _schedule_copy(self, pending: PendingRequest, last: Attempt) -> None:
-        """Come back to an attempt when it has taken far longer than usual."""
-        last.copy_due_at = self.now + max(last.target_latency, LOST_LATENCY_FACTOR * last.server.latency)
-        if self.settings.second_copies and last.copy_due_at < pending.deadline:
-            self.actions.append(
-                api.SetTimer(last.copy_due_at - self.now, "late:" + pending.request.request_id)
-            )
-
-    def _send_copy(self, pending: PendingRequest, last: Attempt) -> None:
-        """A second copy of what got lost on its way: far past the usual time, and later ones are answered."""
-        late = last.open and self.now >= last.copy_due_at - self.settings.timer_resolution / 2
+        self.actions.append(api.Send(req.request.id, server.entry.server))
+        self._schedule_copy(req, attempt)
+
+    def _schedule_copy(self, req: PendingRequest, last: Attempt) -> None:
+        """Set a timer for a second copy, due when the attempt has taken far longer than usual."""
+        last.copy_at = self.now + max(last.target_latency, LOST_FACTOR * last.server.latency)
+        if self.settings.second_copies and last.copy_at < req.deadline:
+            self.actions.append(api.SetTimer(last.copy_at - self.now, "late:" + req.request.id))
+
+    def _send_copy(self, req: PendingRequest, last: Attempt) -> None:
+        """Send a second copy of a lost request: far past its usual latency, with later sends answered."""
+        late = last.open and self.now >= last.copy_at - self.settings.resolution / 2
         if late:
             self._count_unanswered(last)
-        slow = last.server.last_answered_send <= last.sent_at and not self._zone_unreachable(last.server)
-        if late and slow:  # guards against feeding what is slow, not lost
-            self._schedule_copy(pending, last)
+        slow = last.server.last_answered <= last.sent_at and not self._zone_down(last.server)
+        if late and slow:  # guards against feeding a slow server: its answers are late, not lost
+            self._schedule_copy(req, last)
         elif late and self.retry_budget >= 1:
-            server = self._choose(pending) if last.server.is_cache else self._origin()
-            if server is not None and server.in_flight < server.limit and self._permits(pending, server):
+            server = self._choose(req) if last.server.is_cache else self._origin()
+            if server is not None and server.in_flight < server.limit and self._permits(req, server):
                 self.retry_budget -= 1
-                self._send(pending, server)
+                self._send(req, server)
 
     def _on_timer(self, event: api.TimerFired) -> None:
-        what, _, name = event.token.partition(":")
-        if what == "list":
+        timer, _, name = event.token.partition(":")
+        if timer == "list":
             self.calls.asked(self.now)
             self.actions.append(api.Subscribe())
-        elif what == "idle" and (idle := self.servers.get(name)) is not None:
-            idle.idle_check_at = (
-                idle.idle_check_at
-                if self.now < idle.idle_check_at - self.settings.timer_resolution
-                else math.inf
-            )
+        elif timer == "idle" and (idle := self.servers.get(name)) is not None:
+            idle.check_at = idle.check_at if self.now < idle.check_at - self.settings.resolution else math.inf
             self._close_idle(idle)
-        pending = self.pending.get(name)
-        if pending is not None and pending.waiting:
-            # half a tick of grace: rounding may wake us a hair before
-            late = (
-                self.now >= self._latest_start(pending, self._origin()) - self.settings.timer_resolution / 2
-            )
-            (self._finish if late else self._set_wait_timer)(pending)
-        elif pending is not None and what == "late" and not pending.response_started:
-            self._send_copy(pending, pending.attempts[-1])
+        req = self.pending.get(name)
+        if req is not None and req.waiting:
+            # tolerates half the resolution: rounding may fire a timer slightly early
+            late = self.now >= self._latest_start(req, self._origin()) - self.settings.resolution / 2
+            (self._finish if late else self._set_wait_timer)(req)
+        elif req is not None and timer == "late" and not req.response_started:
+            self._send_copy(req, req.attempts[-1])
 
     def _close_idle(self, server: Server) -> None:
-        """Guards against full tables: an idle connection goes once its price has passed a new one's."""
-        price = self.settings.connection_cost
-        if server.in_flight or not price:
+        """Close connections that have cost more than a new one; guards against full connection tables."""
+        cost = self.settings.connection_cost
+        if server.in_flight or not cost:
             return
-        rate = (
-            self.request_count / max(self.now - self.started_at, self.shortest_aim) * self.settings.siblings
-        )
-        keep = self.keep_factor * self.settings.handshake_cost / price * 100 * len(self.caches) / rate
-        left = server.last_used_at + keep - self.now
-        if left < self.settings.timer_resolution:
+        rate = self.accepted / max(self.now - self.started_at, self.shortest_aim) * self.settings.siblings
+        keep = self.keep * self.settings.handshake_cost / cost * 100 * len(self.caches) / rate
+        left = server.used_at + keep - self.now
+        if left < self.settings.resolution:
             self.actions.append(api.CloseIdle(server.entry.server))
-        elif left < min(self.settings.idle_timeout, (server.idle_check_at - self.now) / 2):
-            # guards memory: a timer that is out will look again, unless it comes far too late
-            server.idle_check_at = self.now + left
+        elif left < min(self.settings.idle_timeout, (server.check_at - self.now) / 2):
+            # guards memory: a pending timer will check again, unless it is due far too late
+            server.check_at = self.now + left
             self.actions.append(api.SetTimer(left, "idle:" + server.entry.server))
 
-    def _finish(self, pending: PendingRequest) -> None:
-        """The final answer: a refusal where the class permits one, else a failure."""
-        pending.waiting = False
-        if pending.response_started or pending.open_attempts():
+    def _finish(self, req: PendingRequest) -> None:
+        """Give the final answer: a refusal where the class permits one, else a failure."""
+        req.waiting = False
+        if req.response_started or req.open_attempts():
             return
-        name, origin = pending.request.request_id, self._origin() if pending.to_origin else None
-        # by then what stood in its way is over; guards against all that were refused coming back at once
-        usual = 2 * (origin.latency if origin else self.wait_per_request)
-        if (
-            pending.skipped_cold and not pending.attempts
-        ):  # no warm one took it, and what cold ones bear counts by the window
+        name, origin = req.request.id, self._origin() if req.to_origin else None
+        # the obstacle should be gone by then; the jitter guards against all refused clients returning at once
+        usual = 2 * (origin.latency if origin else self.mean_wait)
+        if req.skipped_cold and not req.attempts:  # cold servers' load counts by the window
             usual = max(usual, self.settings.overload_window)
-        come_back = min(self.settings.max_retry_after, usual) * self.random.uniform(0.5, 1.0)
-        self.actions.append(api.Refuse(name, come_back) if self._permits(pending, None) else api.Fail(name))
-        self._remove(pending)
+        retry_after = min(self.settings.max_retry_after, usual) * self.random.uniform(0.5, 1.0)
+        self.actions.append(api.Refuse(name, retry_after) if self._permits(req, None) else api.Fail(name))
+        self._remove(req)
 
-    def _remove(self, pending: PendingRequest) -> None:
-        pending.waiting = False
-        del self.pending[pending.request.request_id]
+    def _remove(self, req: PendingRequest) -> None:
+        req.waiting = False
+        del self.pending[req.request.id]
         if self.settings.may_cancel:
-            self.actions += [
-                api.Cancel(pending.request.request_id, i) for i, a in enumerate(pending.attempts) if a.open
-            ]
+            self.actions += [api.Cancel(req.request.id, i) for i, a in enumerate(req.attempts) if a.open]
 
     def _on_outcome(self, event: api.Outcome) -> None:
         attempt = self.attempts.pop((event.request_id, event.attempt), None)
@@ -439,121 +380,107 @@
         attempt.open = False
         attempt.may_have_run = event.status not in api.NEVER_RAN
         attempt.server.in_flight -= 1
-        told = event.status not in NO_ANSWER
-        if told:
+        relevant = event.status not in NO_ANSWER
+        if relevant:
             attempt.server.unanswered_since = math.inf
-        # what was sent before an attempt that has been answered got lost, and says nothing of its server
-        told |= event.status is api.Status.TIMEOUT and attempt.server.last_answered_send <= attempt.sent_at
-        attempt.server.last_used_at = self.now
-        lost = event.status is api.Status.CONNECT_FAILED
-        if lost:
+        # a send before one that was answered got lost on its way, and says nothing about the server
+        relevant |= event.status is api.Status.TIMEOUT and attempt.server.last_answered <= attempt.sent_at
+        attempt.server.used_at = self.now
+        failed = event.status is api.Status.CONNECT_FAILED
+        if failed:
             self._count_unanswered(attempt)
         elif event.status not in NO_ANSWER and event.status is not api.Status.RESET:
             zone = self.shares.zones.get(attempt.server.entry.zone)
             if zone is not None and attempt.server.is_cache:
-                if zone.unanswered >= FAILURE_THRESHOLD and len(self.shares.zones) > 1:
+                if zone.unanswered >= MAX_FAILURES and len(self.shares.zones) > 1:
                     self.shares.zone_recovered(zone)
                 zone.last_answer_at, zone.unanswered = self.now, 0
-        self.keep_factor = (
-            self.keep_factor / 2
-            if lost
-            else self.keep_factor + IDLE_KEEP_RECOVERY_SHARE * (IDLE_KEEP_SHARE - self.keep_factor)
-        )
+        self.keep = self.keep / 2 if failed else self.keep + KEEP_RECOVERY_SHARE * (KEEP_SHARE - self.keep)
         self._close_idle(attempt.server)
-        if told:
+        if relevant:
             self._update_limit(attempt, event)
-        pending = self.pending.get(event.request_id)
-        if pending is not None:
-            missed = event.status is api.Status.MISS and not pending.to_origin  # whatever copies are out
+        req = self.pending.get(event.request_id)
+        if req is not None:
+            missed = event.status is api.Status.MISS and not req.to_origin  # even with copies in flight
             if event.request_done or event.status is api.Status.OK:
-                self._remove(pending)
-            elif not pending.waiting and (missed or not pending.open_attempts()):
-                self._after_failure(pending, event)
+                self._remove(req)
+            elif not req.waiting and (missed or not req.open_attempts()):
+                self._after_failure(req, event)
         if not attempt.server.is_cache:
             self._serve_queue()
 
-    def _after_failure(self, pending: PendingRequest, event: api.Outcome) -> None:
-        """The origin is next after a miss; after anything else a retry, while the budget lasts."""
+    def _after_failure(self, req: PendingRequest, event: api.Outcome) -> None:
+        """Go to the origin after a miss; after anything else retry, while the budget lasts."""
         if event.status is api.Status.MISS and self.settings.aside:
-            pending.to_origin = True
+            req.to_origin = True
         elif event.status is api.Status.ERROR and not self.settings.aside:
-            pending.deadline = (
-                self.now
-            )  # guards against a failing origin: each server tried fetches the key again
-        elif not pending.to_origin and (
-            event.status is not api.Status.BUSY or self.shares.success_share < FREE_BUSY_RETRY_SHARE
+            req.deadline = self.now  # guards a failing origin: each server tried would fetch again
+        elif not req.to_origin and (
+            event.status is not api.Status.BUSY or self.shares.success_share < FREE_RETRY_SHARE
         ):
-            # guards against feeding an overload: full servers made every request into a dozen attempts
-            pending.deadline = pending.deadline if self.retry_budget >= 1 else self.now
+            # guards against feeding an overload: with busy servers each request became a dozen attempts
+            req.deadline = req.deadline if self.retry_budget >= 1 else self.now
             self.retry_budget = max(0.0, self.retry_budget - 1)
-        self._advance(pending)
+        self._advance(req)
 
-    def _enqueue(self, pending: PendingRequest) -> None:
-        """Wait for a place at the origin, or any: worth first, or writes wait behind misses; then age."""
-        pending.waiting = True
-        self._set_wait_timer(pending)
+    def _enqueue(self, req: PendingRequest) -> None:
+        """Queue for the origin, or any server: by value, or writes would wait behind misses; then by age."""
+        req.waiting = True
+        self._set_wait_timer(req)
         self.queue_sequence += 1
-        heapq.heappush(self.queue, (-pending.request_class.value, self.queue_sequence, pending))
+        heapq.heappush(self.queue, (-req.request_class.value, self.queue_sequence, req))
         self._serve_queue()
 
-    def _set_wait_timer(self, pending: PendingRequest) -> None:
-        """A timer, so that a request that waits is answered in time whatever comes."""
-        pause = max(0.0, self._latest_start(pending, self._origin()) - self.now)
-        self.actions.append(api.SetTimer(pause, "wait:" + pending.request.request_id))
+    def _set_wait_timer(self, req: PendingRequest) -> None:
+        """Set a timer, so that a queued request is answered in time whatever happens."""
+        pause = max(0.0, self._latest_start(req, self._origin()) - self.now)
+        self.actions.append(api.SetTimer(pause, "wait:" + req.request.id))
 
-    def _latest_start(self, pending: PendingRequest, origin: Server | None) -> float:
-        """From then on no fetch would be back in time; writes need less room, as they store nothing."""
-        room = 1.0 if pending.request.write else FETCH_LATENCY_FACTOR
-        return pending.deadline - room * origin.latency if origin is not None else pending.deadline
+    def _latest_start(self, req: PendingRequest, origin: Server | None) -> float:
+        """The latest start of a fetch that is back in time; writes need less time, as they store nothing."""
+        room = 1.0 if req.request.write else FETCH_FACTOR
+        return req.deadline - room * origin.latency if origin is not None else req.deadline
 
     def _serve_queue(self) -> None:
         while self.queue and (origin := self._origin()) is not None and origin.in_flight < origin.limit:
-            pending = heapq.heappop(self.queue)[2]
-            if not pending.waiting:
+            req = heapq.heappop(self.queue)[2]
+            if not req.waiting:
                 continue
-            pending.waiting = False
-            # no fetch that can't be back in time, but for one to learn by
-            in_time = self.now < (
-                self._latest_start(pending, origin) if origin.in_flight else pending.deadline
-            )
-            if in_time and self._permits(pending, origin):
-                self._send(pending, origin)
+            req.waiting = False
+            # no fetch that can't be back in time, except one at a time to measure by
+            fits = self.now < (self._latest_start(req, origin) if origin.in_flight else req.deadline)
+            if fits and self._permits(req, origin):
+                self._send(req, origin)
             else:
-                self._finish(pending)
-        # guards clients against waiting on for what can't be served any more: they may still ask again
-        origin = self._origin()  # looked up once, not for each that waits
-        for _, _, pending in self.queue:
-            if pending.waiting and self.now >= self._latest_start(pending, origin):
-                self._finish(pending)
-        # guards against requests long ended piling up behind those of more worth
+                self._finish(req)
+        # guards clients against waiting in vain: refused now, they still have time for a retry
+        origin = self._origin()  # looked up once, not for each queued request
+        for _, _, req in self.queue:
+            if req.waiting and self.now >= self._latest_start(req, origin):
+                self._finish(req)
+        # guards against finished requests piling up behind those of higher value
         self.queue = [q for q in self.queue if q[2].waiting]
         heapq.heapify(self.queue)
 
     def _update_limit(self, attempt: Attempt, event: api.Outcome) -> None:
-        """Adapt what this router has out at a server: less when it is slow or full, else a little more."""
+        """Adapt the concurrency limit: cut it when the server is slow or busy, else raise it a little."""
         server = attempt.server
-        well = event.status in (api.Status.OK, api.Status.MISS)
-        server.last_answered_send = max(server.last_answered_send, attempt.sent_at if well else -math.inf)
-        server.consecutive_failures = (
-            0 if well else server.consecutive_failures + (event.status not in (*NO_ANSWER, api.Status.BUSY))
-        )
-        if server.consecutive_failures >= FAILURE_THRESHOLD:
+        ok = event.status in (api.Status.OK, api.Status.MISS)
+        server.last_answered = max(server.last_answered, attempt.sent_at if ok else -math.inf)
+        server.failures = 0 if ok else server.failures + (event.status not in (*NO_ANSWER, api.Status.BUSY))
+        if server.failures >= MAX_FAILURES:
             self._mark_unhealthy(server)
         if server.is_cache:
-            self.shares.success_share += SMOOTHING_FACTOR * (well - self.shares.success_share)
-            self.wait_per_request += SMOOTHING_FACTOR * (
-                event.latency / (1 + server.reported_load) - self.wait_per_request
-            )
+            self.shares.success_share += EWMA_WEIGHT * (ok - self.shares.success_share)
+            self.mean_wait += EWMA_WEIGHT * (event.latency / (1 + server.reported_load) - self.mean_wait)
         if event.status is not api.Status.BUSY:
-            server.latency += SMOOTHING_FACTOR * (event.latency - server.latency)
-        server.latency_ratio += SMOOTHING_FACTOR * (
-            event.latency / attempt.target_latency - server.latency_ratio
-        )
+            server.latency += EWMA_WEIGHT * (event.latency - server.latency)
+        server.latency_ratio += EWMA_WEIGHT * (event.latency / attempt.target_latency - server.latency_ratio)
         if event.status is api.Status.BUSY or server.latency_ratio > 1.0:
             if self.now - server.limit_cut_at > attempt.target_latency:
-                server.limit = max(1.0, server.limit * LIMIT_CUT_FACTOR)
+                server.limit = max(1.0, server.limit * LIMIT_FACTOR)
                 server.limit_cut_at = self.now
-            if event.status is api.Status.BUSY:  # what is out there now is what it bears
+            if event.status is api.Status.BUSY:  # what is in flight now is what it can take
                 server.limit = max(1.0, min(server.limit, server.in_flight))
-        elif well and server.in_flight + 1 >= server.limit / 2:
+        elif ok and server.in_flight + 1 >= server.limit / 2:
             server.limit += 1 / server.limit
--- a/brackenwalk/settings.py
+++ b/brackenwalk/settings.py
@@ -85,7 +85,7 @@
     origin = int(number(info, "originKind", -1, "familyInfo.", -1))
     return api.Settings(
         classes=classes,
-        timer_resolution=number(conf, "resolution", 0.005, ""),
+        resolution=number(conf, "resolution", 0.005, ""),
         aside=choice(info, "mode", "through", {"aside": True, "through": False}, "familyInfo."),
         origin_kind=str(kinds[origin]) if 0 <= origin < len(kinds) else None,
         subscribe=choice(conf, "membershipMode", "automatic", {"subscribe": True, "automatic": False}, ""),
--- a/brackenwalk/shares.py
+++ b/brackenwalk/shares.py
@@ -12,7 +12,7 @@
 EPSILON = 0.25  # a server may stand this far above the average load before the walk passes it
 CACHE_TARGET_SHARE = 0.25  # of the aim: answers slower than this on average mean that too many are out
 # of its points that a server keeps when found ailing: one that does a tenth is there in four rounds
-HEALTH_CUT_FACTOR = 0.5
+HEALTH_FACTOR = 0.5
 HEALTH_RECOVERY_PER_S = (
     0.1  # of its points that come back each second: time for the queue of a crowd to be worked off
 )
@@ -33,7 +33,7 @@
         self.hot_key_shares: dict[
             int, dict[Server, float]
         ] = {}  # of a hot key's share, at the servers it takes
-        self.mean_health, self.mean_kept_share = 1.0, 1.0
+        self.mean_health, self.mean_kept = 1.0, 1.0
         self.cold_factor = (
             1.0  # times what is stated that cold servers take, so that the warm are as busy as they
         )
@@ -58,7 +58,7 @@
         """
         if not server.is_cache or self.now - server.health_cut_at <= CACHE_TARGET_SHARE * self.shortest_aim:
             return False
-        server.health, server.health_cut_at = HEALTH_CUT_FACTOR * self.health(server), self.now
+        server.health, server.health_cut_at = HEALTH_FACTOR * self.health(server), self.now
         self.reduced[server] = None
         return True
 
@@ -66,7 +66,7 @@
         """What is left of a server's points, or has come back to it."""
         return min(1.0, server.health + HEALTH_RECOVERY_PER_S * (self.now - server.health_cut_at))
 
-    def kept_share(self, server: Server) -> float:
+    def kept(self, server: Server) -> float:
         """Share of its points that an ailing server keeps; where all ail alike they keep all."""
         if server not in self.reduced:
             return 1.0
@@ -107,15 +107,13 @@
         if not self.is_cold(server):
             return 1.0
         # guards against client retries, which multiply what is sent just when servers bear the least
-        return min(
-            1.0, self.cold_factor * self.mean_kept_share * self.success_share * self.warm_up_share(server)
-        )
+        return min(1.0, self.cold_factor * self.mean_kept * self.success_share * self.warm_up_share(server))
 
-    def max_key_share(self, key: int, server: Server) -> float:
+    def key_share(self, key: int, server: Server) -> float:
         """The part of a key's requests that a server may take; one key fills no more than its fair share."""
         if not self.is_cold(server):
             return 1.0
-        fair = server.ring_weight / self.total_weight
+        fair = server.weight / self.total_weight
         return self.accepted_share(server) * min(1.0, fair / self.demand.share(key))
 
     def fair_shares(self) -> dict[Server, float]:
@@ -124,7 +122,7 @@
         if not self.reduced:
             return fair
         for s in self.reduced:
-            fair[s] *= self.accepted_share(s) * self.kept_share(s)
+            fair[s] *= self.accepted_share(s) * self.kept(s)
         cold = {s: fair[s] for s in self.reduced if self.is_cold(s)}
         warm = sum(fair.values()) - sum(cold.values())
         rest = (1 - sum(cold.values())) / warm if len(cold) < len(fair) else 0.0
@@ -137,13 +135,13 @@
     def plan(self, clockwise: Callable[[int], Iterator[Server]], first: Callable[[int], Server]) -> None:
         """Look at the servers that are unsteady, and share out the hot keys among all."""
         if not self.weight_shares:
-            self.weight_shares = {s: s.ring_weight / self.total_weight for s in self.caches}
+            self.weight_shares = {s: s.weight / self.total_weight for s in self.caches}
         # one that drains is sent nothing new, and found ailing by what it still has
         known = (s for s in self.reduced if s in self.weight_shares)
         self.reduced = dict.fromkeys(s for s in known if self.is_cold(s) or self.health(s) < 1)
         self.mean_health = self._weighted_mean(self.health)
-        self.mean_kept_share = self._weighted_mean(
-            self.kept_share
+        self.mean_kept = self._weighted_mean(
+            self.kept
         )  # guards cold servers: they'd get more as others keep less
         able = self._weighted_mean(self.warm_up_share)
         self.cold_factor = min(self.settings.overload_factor / 2, 1 / able if able > 0 else math.inf)
@@ -152,5 +150,5 @@
             return None if (server := first(position)) in self.reduced else server
 
         self.hot_key_shares = self.demand.share_out(
-            self.fair_shares(), 1 + EPSILON, clockwise, self.max_key_share, whole
+            self.fair_shares(), 1 + EPSILON, clockwise, self.key_share, whole
         )
--- a/fleetlab/capacity.py
+++ b/fleetlab/capacity.py
@@ -20,7 +20,7 @@
 from brackenwalk.demand import CHECK, HEAD, LINE, LINES, MEMORY, NAME
 from brackenwalk.net.discovery import ANSWER_MARGIN, EMPTY_PAUSE, WATCH_WAIT
 from brackenwalk.net.peers import HELD
-from brackenwalk.policy import FAILURE_THRESHOLD, SILENCE_FACTOR, VIRTUAL_NODES
+from brackenwalk.policy import MAX_FAILURES, SILENT_AIMS, VNODES
 from brackenwalk.telling import DATAGRAM, HEARD, TELL, TELLERS
 from fleetlab.experiment import Experiment, Fleet
 from fleetlab.plan import Addresses, Plan, entry_of, first_list
@@ -355,7 +355,7 @@
         Row(
             "state",
             "the module's state, MB",
-            f"`Ring` with {VIRTUAL_NODES} points a server, `Demand` with {number(MEMORY)} requests a server",
+            f"`Ring` with {VNODES} points a server, `Demand` with {number(MEMORY)} requests a server",
             measured(("module", "state.mb"), ("hollow", "state.mb")),
             limits["control_mb"],
         ),
@@ -971,10 +971,10 @@
             "call_ms": 1000 * call_s,
             "watch": WATCH_WAIT,
             "margin": ANSWER_MARGIN,
-            "faulty": FAILURE_THRESHOLD,
+            "faulty": MAX_FAILURES,
             "tellers": TELLERS,
             "headers": DATAGRAM,
-            "silence": SILENCE_FACTOR,
+            "silence": SILENT_AIMS,
             "purges_rate": purges,
             "purge_within": limits["purge_within"],
             "purge_servers": purges * size.servers,
--- a/tests/test_lab_hollow.py
+++ b/tests/test_lab_hollow.py
@@ -87,9 +87,9 @@
     fleet = Fleet(CONF, 4, SERVERS)
     fleet.run(1.0, 200.0, zipf(50))
     fleet.lose([], [0])
-    before, heard = fleet.routers[0].request_count, sum(c for (n, _), c in fleet.hears.items() if n == 0)
+    before, heard = fleet.routers[0].accepted, sum(c for (n, _), c in fleet.hears.items() if n == 0)
     fleet.run(1.0, 200.0, zipf(50))
-    assert fleet.routers[0].request_count == before
+    assert fleet.routers[0].accepted == before
     assert sum(c for (n, _), c in fleet.hears.items() if n == 0) == heard
 
 
--- a/tests/test_net_turns.py
+++ b/tests/test_net_turns.py
@@ -149,7 +149,7 @@
 
             def handle(now: float, event: api.Event) -> list[api.Action]:
                 if isinstance(event, api.Request):
-                    return [api.Broadcast(b"x"), api.Fail(event.request_id)]
+                    return [api.Broadcast(b"x"), api.Fail(event.id)]
                 return []
 
             def faulty(content: bytes) -> None:
@@ -172,7 +172,7 @@
             handle = router.host.router.handle
 
             def faulty(now: float, event: api.Event) -> list[api.Action]:
-                if isinstance(event, api.Request) and event.request_id == "bad":
+                if isinstance(event, api.Request) and event.id == "bad":
                     raise ZeroDivisionError
                 return handle(now, event)
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -598,7 +598,7 @@
     r = d.router
     assert not r.pending and not r.attempts
     assert len(r.servers) <= 5 and len(r.queue) < 100
-    assert len(r.ring.owners) == len(r.ring.positions) <= 5 * policy.VIRTUAL_NODES
+    assert len(r.ring.owners) == len(r.ring.positions) <= 5 * policy.VNODES
 
 
 def test_the_queue_for_the_origin_stays_bounded() -> None:
@@ -691,9 +691,9 @@
     d.list(*fleet("a", "b"))
     d.request("r")
     d.end("r", api.Status.CONNECT_FAILED)
-    assert d.router.keep_factor == policy.IDLE_KEEP_SHARE / 2
+    assert d.router.keep == policy.KEEP_SHARE / 2
     d.ok("r")
-    assert policy.IDLE_KEEP_SHARE / 2 < d.router.keep_factor < policy.IDLE_KEEP_SHARE
+    assert policy.KEEP_SHARE / 2 < d.router.keep < policy.KEEP_SHARE
 
 
 def test_a_server_reported_crowded_is_passed_by_a_share_of_requests() -> None:
@@ -735,7 +735,7 @@
     """Clients gave up on two attempts in three and retried, and nothing told the router but its own waits."""
     d = Driver(settings(max_attempts=1))
     d.list(*(entry(f"s{n}") for n in range(30)))
-    d.router.wait_per_request = 4.0
+    d.router.mean_wait = 4.0
     sent = [d.request(f"r{n}", key=f"k{n}") for n in range(200)]
     assert 20 < sum(s is not None for s in sent) < 90  # a second of four: one in four is let in
 
@@ -817,7 +817,7 @@
     """Something sent later to the server that holds this request is answered."""
     d.now += 0.01
     server = d.router.servers[d.sends[name][-1]]
-    server.last_answered_send = d.now
+    server.last_answered = d.now
 
 
 def test_an_answer_that_got_lost_does_not_cost_the_request() -> None:
@@ -959,7 +959,7 @@
     d.list(*fleet("a", "b"))
     d.router.gossip.tell_at = math.inf  # or so hot a key would be shared out
     first, second = order_of(d, "k")
-    for n in range(policy.FAILURE_THRESHOLD):
+    for n in range(policy.MAX_FAILURES):
         assert d.request(f"r{n}", key="k") == first
         d.end(f"r{n}", how)
         d.ok(f"r{n}")
@@ -978,7 +978,7 @@
     d.list(*fleet("a", "b"))
     d.router.gossip.tell_at = math.inf  # or so hot a key would be shared out
     first, _ = order_of(d, "k")
-    for n in range(2 * policy.FAILURE_THRESHOLD):
+    for n in range(2 * policy.MAX_FAILURES):
         assert d.request(f"r{n}", key="k") == first
         d.end(f"r{n}", api.Status.BUSY)
         d.ok(f"r{n}")
@@ -1067,6 +1067,6 @@
     for i in range(1000):
         d.now += 0.01
         request = api.Request(f"x{i}", "unheard-of", 1.0, key="flood")
-        assert d.router.handle(d.now, request) == [api.Refuse(request.request_id)]
-    assert not d.router.pending and d.router.request_count == 0
+        assert d.router.handle(d.now, request) == [api.Refuse(request.id)]
+    assert not d.router.pending and d.router.accepted == 0
     assert not d.router.demand.long.times and not d.router.demand.untold
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -17,7 +17,7 @@
 
 def everyone(shares: TrafficShares) -> dict[str, float]:
     """Each server's fair share by the formulas of shares.py, over all servers alike."""
-    total = sum(s.ring_weight for s in shares.caches)
+    total = sum(s.weight for s in shares.caches)
 
     def eased(s: Server) -> float:
         return min(1.0, s.health + 0.1 * (shares.now - s.health_cut_at))
@@ -30,22 +30,20 @@
         age = max(0.0, shares.now - shares.started_at(s))
         return 0.2 + 0.8 * age / 10.0 if cold(s) else 1.0
 
-    mean = sum(s.ring_weight * eased(s) for s in shares.caches) / total
+    mean = sum(s.weight * eased(s) for s in shares.caches) / total
     kept = {s: min(1.0, eased(s) / mean) for s in shares.caches}
-    level = sum(s.ring_weight * kept[s] for s in shares.caches) / total
-    able = sum(s.ring_weight * stated(s) for s in shares.caches) / total
+    level = sum(s.weight * kept[s] for s in shares.caches) / total
+    able = sum(s.weight * stated(s) for s in shares.caches) / total
     bold = min(1.0, 1 / able)
     part = {
         s: min(1.0, bold * level * shares.success_share * stated(s)) if cold(s) else 1.0
         for s in shares.caches
     }
-    fair = {s: part[s] * kept[s] * s.ring_weight / total for s in shares.caches}
+    fair = {s: part[s] * kept[s] * s.weight / total for s in shares.caches}
     rest = 1 - sum(fair[s] for s in fair if cold(s))
     warm = sum(fair[s] for s in fair if not cold(s))
     assert {s.name_hash: shares.is_cold(s) for s in fair} == {s.name_hash: cold(s) for s in fair}
-    assert {s.name_hash: shares.kept_share(s) for s in fair} == pytest.approx(
-        {s.name_hash: kept[s] for s in fair}
-    )
+    assert {s.name_hash: shares.kept(s) for s in fair} == pytest.approx({s.name_hash: kept[s] for s in fair})
     return {s.entry.server: fair[s] if cold(s) else fair[s] * rest / warm for s in fair}
 
 
--- a/tests/test_wirehost.py
+++ b/tests/test_wirehost.py
@@ -87,12 +87,7 @@
         api.RepeatGroup.ZONE,
         5.0,
     )
-    assert (conf.aside, conf.origin_kind, conf.subscribe, conf.timer_resolution) == (
-        True,
-        "store",
-        True,
-        0.01,
-    )
+    assert (conf.aside, conf.origin_kind, conf.subscribe, conf.resolution) == (True, "store", True, 0.01)
     assert (conf.max_attempts, conf.second_copies, conf.may_cancel) == (3, True, True)
     assert (conf.cold_share, conf.ramp, conf.overload_factor, conf.overload_window) == (0.2, 8.0, 3.0, 1.5)
 
