--- a/brackenwalk/calls.py
+++ b/brackenwalk/calls.py
@@ -6,7 +6,7 @@
 import random
 
 from brackenwalk import interface as api
-from brackenwalk.shares import LIST_AGE_SHARE
+from brackenwalk.shares import POLL_SHARE
 
 CALL = 0.125  # seconds for each router's call: forty at once had sixteen answered in the 2 s they may wait
 MOVE = 1.0  # seconds for all to ask a new discovery: old watches last 1.5, news counts as told after 4
@@ -22,7 +22,7 @@
     def __init__(self, settings: api.Settings, chance: random.Random, now: float) -> None:
         self.settings, self.random = settings, chance
         self.turn = min(
-            CALL, min(ROUND, LIST_AGE_SHARE * settings.max_list_age) / settings.siblings
+            CALL, min(ROUND, POLL_SHARE * settings.max_list_age) / settings.siblings
         )  # for each's call
         self.turns = settings.siblings * self.turn  # until all have had theirs
         self.asked_at, self.listed_at = now - CROWDED[0], -math.inf
@@ -51,9 +51,9 @@
         if not conf.subscribe:  # what is pushed, an agent of our own holds
             return min(conf.drain_grace / 2, CALL * doubled) * self.random.uniform(0.5, 1.0)
         if quiet <= waited or waited < CROWDED[0]:  # a watch broke, or a call came to nothing at no cost
-            rounds = min(doubled, LIST_AGE_SHARE * min(ROUND, conf.max_list_age) / self.turns)
+            rounds = min(doubled, POLL_SHARE * min(ROUND, conf.max_list_age) / self.turns)
             pause = self.until_turn(now, self.turn / 2) + max(0, int(rounds) - 1) * self.turns
-            left = NEWS - quiet + LIST_AGE_SHARE * conf.drain_grace
+            left = NEWS - quiet + POLL_SHARE * conf.drain_grace
             if quiet <= waited and 0 < left < pause:  # it had been silent, and what it missed counts soon
                 pause = left * (conf.sibling_index + self.random.random()) / conf.siblings
             return pause
--- a/brackenwalk/interface.py
+++ b/brackenwalk/interface.py
@@ -98,7 +98,7 @@
     subscribe: bool = False  # list changes are delivered only after a `Subscribe`
     second_copies: bool = False
     may_cancel: bool = False
-    gossip_enabled: bool = False  # routers may send each other messages
+    may_gossip: bool = False  # routers may send each other messages
     max_attempts: int = 1
     siblings: int = 1  # number of routers, this one included
     sibling_index: int = 0  # of this router among its siblings, from 0
--- a/brackenwalk/policy.py
+++ b/brackenwalk/policy.py
@@ -165,7 +165,7 @@
 
     def _choose(self, req: PendingRequest) -> Server | None:
         """Walk with bounded loads: load beyond (1 + epsilon) fair shares of a server spills clockwise."""
-        portions = self.shares.hot_key_shares.get(req.ring_position >> 32, {})
+        portions = self.shares.hot_shares.get(req.ring_position >> 32, {})
         planned = sum(portions.values())
         flow = self.random.random() * planned
         cap = (1 + EPSILON) * max(1.0, self.mean_reported)  # at random, as all routers read one late report
--- a/brackenwalk/settings.py
+++ b/brackenwalk/settings.py
@@ -92,7 +92,7 @@
         live_weights=conf.get("weights") == "live",
         second_copies=bool(limits.get("secondCopies", False)),
         may_cancel=bool(limits.get("mayCancel", False)),
-        gossip_enabled=bool(limits.get("peers", False)),
+        may_gossip=bool(limits.get("peers", False)),
         max_attempts=max(1, int(number(limits, "mostTries", 1, "limits."))),
         siblings=max(1, int(number(conf, "siblings", 1, ""))),
         sibling_index=int(number(conf, "me", 0, "")),
--- a/brackenwalk/state.py
+++ b/brackenwalk/state.py
@@ -40,8 +40,8 @@
     last_answer_at: float = -math.inf  # latest answer from any of them
     unanswered: int = 0  # attempts without an answer since then
     last_send_at: float = -math.inf  # latest send to any of them
-    outage_began_at: float = -math.inf  # last answer before the latest outage
-    outage_ended_at: float = -math.inf  # first answer after it
+    outage_start: float = -math.inf  # last answer before the latest outage
+    outage_end: float = -math.inf  # first answer after it
 
 
 @dataclass(slots=True, eq=False)
--- a/brackenwalk/telling.py
+++ b/brackenwalk/telling.py
@@ -54,10 +54,8 @@
         """A message of at most 256 bytes, empty for none: what ails, and of keys what all may hear."""
         size = DATAGRAM + self.demand.size(len(self.ailing))
         part = min(self.told, HEARD * self.pause / (self.settings.siblings * size))
-        wanted = self.settings.gossip_enabled and self.random.random() < part
-        told = list(self.ailing)[
-            : NAMES if self.settings.gossip_enabled else 0
-        ]  # the rest is for the next one
+        wanted = self.settings.may_gossip and self.random.random() < part
+        told = list(self.ailing)[: NAMES if self.settings.may_gossip else 0]  # the rest is for the next one
         for server in told:
             del self.ailing[server]
         return self.demand.message([s.name_hash for s in told], wanted, now)
--- a/tests/test_demand.py
+++ b/tests/test_demand.py
@@ -68,7 +68,7 @@
     ],
 )
 def test_a_garbled_message_changes_nothing(message: bytes) -> None:
-    d = Driver(settings(gossip_enabled=True))
+    d = Driver(settings(may_gossip=True))
     d.list(*SERVERS)
     assert d.feed(api.PeerMessage(message)) == []
     assert not d.router.demand.long.times and not d.router.demand.long.total
@@ -106,7 +106,7 @@
 
 def test_a_key_that_is_hot_at_all_routers_together_is_spread_by_each() -> None:
     """Each of forty routers had seen it a few times only, and all sent it to one small server."""
-    routers = [Driver(settings(gossip_enabled=True, siblings=40), seed=i) for i in range(40)]
+    routers = [Driver(settings(may_gossip=True, siblings=40), seed=i) for i in range(40)]
     for d in routers:
         d.list(*SERVERS)
     messages = []
@@ -129,13 +129,13 @@
 
 def test_what_finds_no_place_in_a_message_is_told_in_the_next() -> None:
     """Of a zone of sixty that was lost peers heard of twenty-four; of a hundred hot keys of thirty."""
-    d = Driver(settings(gossip_enabled=True))
+    d = Driver(settings(may_gossip=True))
     d.list(*(entry(f"s{i}") for i in range(60)))
     for n in range(300):
         d.request(f"k{n}", key=f"k{n % 100}", finish=True)
     for each in d.router.servers.values():
         d.router._mark_unhealthy(each)
-    hears = Driver(settings(gossip_enabled=True), seed=2)
+    hears = Driver(settings(may_gossip=True), seed=2)
     hears.list(*(entry(f"s{i}") for i in range(60)))
     for n in range(5):
         d.now += 1.0
@@ -150,7 +150,7 @@
 
 def test_no_name_is_hashed_for_a_message(monkeypatch: pytest.MonkeyPatch) -> None:
     """Each message of a peer that named a server cost a hash for every server of the list."""
-    d = Driver(settings(gossip_enabled=True))
+    d = Driver(settings(may_gossip=True))
     d.list(*SERVERS)
     name = server(d, "s3").name_hash
     monkeypatch.setattr(policy, "ring_hash", None)
@@ -159,10 +159,10 @@
 
 
 def test_nothing_is_told_where_routers_may_not_talk() -> None:
-    d = Driver(settings(gossip_enabled=False))
+    d = Driver(settings(may_gossip=False))
     d.list(*SERVERS)
     assert not [t for n in range(200) for t in asked(d, f"r{n}", "k")[1]]
-    d = Driver(settings(gossip_enabled=True))
+    d = Driver(settings(may_gossip=True))
     d.list(*SERVERS)
     assert [t for n in range(200) for t in asked(d, f"r{n}", "k")[1]]
 
@@ -170,7 +170,7 @@
 def test_routers_that_start_together_do_not_talk_in_step() -> None:
     times = []
     for seed in range(8):
-        d = Driver(settings(gossip_enabled=True), seed=seed)
+        d = Driver(settings(may_gossip=True), seed=seed)
         d.list(*SERVERS)
         asked(d, "first", "k")
         times.append(round(d.router.gossip.tell_at - d.now, 4))
@@ -180,7 +180,7 @@
 @pytest.mark.parametrize("how", ["silent", "failing"])
 def test_a_server_that_one_router_finds_dead_is_eased_by_all(how: str) -> None:
     """Each of forty lost a request a second to it, while the others had long known."""
-    knows, hears = (Driver(settings(gossip_enabled=True, siblings=40), seed=s) for s in (1, 2))
+    knows, hears = (Driver(settings(may_gossip=True, siblings=40), seed=s) for s in (1, 2))
     for d in (knows, hears):
         d.list(*SERVERS)
     before = [hears.request(f"b{n}", key=f"k{n}", finish=True) for n in range(400)]
@@ -203,7 +203,7 @@
 
 def test_where_all_ail_alike_nothing_moves() -> None:
     """In an overload easing the crowded ones crowded the next, until all had been eased."""
-    d = Driver(settings(gossip_enabled=True))
+    d = Driver(settings(may_gossip=True))
     d.list(*SERVERS)
     before = [asked(d, f"b{n}", f"k{n}")[0] for n in range(200)]
     for server in d.router.servers.values():
@@ -218,7 +218,7 @@
     siblings: int, least: float, most: float
 ) -> None:
     """Each of two hundred told every request to all others: five points of service in a hundred."""
-    d = Driver(settings(gossip_enabled=True, siblings=siblings))
+    d = Driver(settings(may_gossip=True, siblings=siblings))
     d.list(*SERVERS)
     messages = 0
     for n in range(400):
@@ -273,7 +273,7 @@
     d.router.demand.long.total = 1000.0
     d.now += 1.0
     d.request("first", key=key, finish=True)  # shares the key out
-    portions = d.router.shares.hot_key_shares[hashed(key) >> 32]
+    portions = d.router.shares.hot_shares[hashed(key) >> 32]
     planned = [s for s in portions if portions[s] and s is not server(d, "cold")]
     for other in planned[:3]:
         other.in_flight = int(other.limit)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -14,7 +14,7 @@
 from tests.fleet import Fleet, zipf
 
 LOAD = 0.5  # of what warm servers can do, by the requests of clients
-CONF = settings(gossip_enabled=True, cold_share=0.13, ramp=23.0, overload_factor=3.0, overload_window=1.5)
+CONF = settings(may_gossip=True, cold_share=0.13, ramp=23.0, overload_factor=3.0, overload_window=1.5)
 
 
 def worst(fleet: Fleet, cold: list[api.ServerEntry], fair: float) -> float:
--- a/tests/test_lab_hollow.py
+++ b/tests/test_lab_hollow.py
@@ -24,7 +24,7 @@
 from tests.driver import entry, settings
 from tests.loopback import http, run
 
-CONF = settings(gossip_enabled=True)
+CONF = settings(may_gossip=True)
 SERVERS = [entry(f"s{i}", zone="ab"[i % 2]) for i in range(6)]
 
 
--- a/tests/test_net_peers.py
+++ b/tests/test_net_peers.py
@@ -69,6 +69,6 @@
             router.host.tell = sent.append
             router.host._carry_out(api.Broadcast(b"content"))
             assert sent == [b"content"]
-            assert not SETTINGS.gossip_enabled  # and by itself it tells nothing here
+            assert not SETTINGS.may_gossip  # and by itself it tells nothing here
 
     run(scenario)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1062,7 +1062,7 @@
 
 def test_requests_of_no_class_teach_nothing() -> None:
     """They are never sent: counted, they would push aside the keys that are, and be told to all peers."""
-    d = Driver(settings(gossip_enabled=True, siblings=4))
+    d = Driver(settings(may_gossip=True, siblings=4))
     d.list(*fleet("a", "b"))
     for i in range(1000):
         d.now += 0.01
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -12,7 +12,7 @@
 from brackenwalk.state import Server
 from tests.driver import Driver, entry, settings
 
-CONF = settings(gossip_enabled=True, cold_share=0.2, ramp=10.0, max_list_age=10.0)
+CONF = settings(may_gossip=True, cold_share=0.2, ramp=10.0, max_list_age=10.0)
 
 
 def everyone(shares: TrafficShares) -> dict[str, float]:
@@ -90,7 +90,7 @@
         if shares.caches:
             shares.plan(d.router._clockwise, d.router.ring.first)
             expected = everyone(shares)
-            got = {s.entry.server: f for s, f in shares.fair_shares().items()}
+            got = {s.entry.server: f for s, f in shares.fair().items()}
             assert got == pytest.approx(expected)
             assert sum(got.values()) == pytest.approx(1.0) or all(map(shares.is_cold, shares.caches))
 
--- a/tests/test_telling.py
+++ b/tests/test_telling.py
@@ -32,7 +32,7 @@
     """Each router that met one of a zone's dead servers told all others, and again while it met them."""
     monkeypatch.setattr(model, "ON_THE_WAY", 0.027)  # the longest of any site
     with shared_rings():
-        fleet = Fleet(settings(gossip_enabled=True, aside=False), routers, SERVERS, hosted=True)
+        fleet = Fleet(settings(may_gossip=True, aside=False), routers, SERVERS, hosted=True)
         keys = zipf(240)
         fleet.run(0.5, 12.0 * routers, keys)
         fleet.messages.clear()
@@ -47,7 +47,7 @@
 
 def rate_of(siblings: int, keys: int) -> tuple[float, float]:
     """Bytes and messages a second that each router hears of so many siblings with so many keys a message."""
-    conf = settings(gossip_enabled=True, siblings=siblings)
+    conf = settings(may_gossip=True, siblings=siblings)
     telling, now, size, count = Telling(conf, random.Random(3), 0.0), 0.0, 0, 0
     while now < 400.0:
         now += 0.01
@@ -73,7 +73,7 @@
 
 
 def test_who_hears_another_tell_of_a_server_does_not_tell_it_again() -> None:
-    first, second = (Driver(settings(gossip_enabled=True, siblings=40), seed=s) for s in (1, 2))
+    first, second = (Driver(settings(may_gossip=True, siblings=40), seed=s) for s in (1, 2))
     for d in (first, second):
         d.list(*SERVERS)
         d.router._mark_unhealthy(d.router.servers["s1"])
@@ -85,7 +85,7 @@
 
 
 def test_a_server_is_told_of_again_while_it_fails() -> None:
-    d = Driver(settings(gossip_enabled=True, siblings=40))
+    d = Driver(settings(may_gossip=True, siblings=40))
     d.list(*SERVERS)
     told: Counter[int] = Counter()
     for _ in range(40):
@@ -98,7 +98,7 @@
 
 def test_what_ails_is_told_without_the_keys_that_others_tell() -> None:
     """Each of 2,300 routers that found a server ailing told thirty keys beside its name."""
-    d = Driver(settings(gossip_enabled=True, siblings=2300))
+    d = Driver(settings(may_gossip=True, siblings=2300))
     d.list(*SERVERS)
     sizes = []
     for n in range(200):
@@ -112,7 +112,7 @@
 
 
 def test_a_message_that_comes_too_late_changes_nothing_and_is_counted() -> None:
-    d = Driver(settings(gossip_enabled=True, siblings=40))
+    d = Driver(settings(may_gossip=True, siblings=40))
     d.list(*SERVERS)
     name = d.router.servers["s1"].name_hash
     sender = Demand()
@@ -137,7 +137,7 @@
 
 
 def test_nothing_is_told_of_what_ails_where_routers_may_not_talk() -> None:
-    d = Driver(settings(gossip_enabled=False, siblings=40))
+    d = Driver(settings(may_gossip=False, siblings=40))
     d.list(*SERVERS)
     for _ in range(20):
         d.now += 0.5
