--- a/brackenwalk/policy.py
+++ b/brackenwalk/policy.py
@@ -447,7 +447,7 @@
             if not req.waiting:
                 continue
             req.waiting = False
-            # no fetch that can't be back in time, except one at a time to measure by
+            # no fetch that would come back too late, except one at a time to measure the origin's latency
             fits = self.now < (self._latest_start(req, origin) if origin.in_flight else req.deadline)
             if fits and self._permits(req, origin):
                 self._send(req, origin)
@@ -458,8 +458,7 @@
         for _, _, req in self.queue:
             if req.waiting and self.now >= self._latest_start(req, origin):
                 self._finish(req)
-        # guards against finished requests piling up behind those of higher value
-        self.queue = [q for q in self.queue if q[2].waiting]
+        self.queue = [q for q in self.queue if q[2].waiting]  # or ended ones pile up behind higher values
         heapq.heapify(self.queue)
 
     def _update_limit(self, attempt: Attempt, event: api.Outcome) -> None:
