--- a/brackenwalk/__main__.py
+++ b/brackenwalk/__main__.py
@@ -21,7 +21,7 @@
 from brackenwalk.net.peers import Peers
 from brackenwalk.net.pool import Pool, address_of
 from brackenwalk.net.servers import CacheConnection
-from brackenwalk.settings import number, read_settings, section
+from brackenwalk.settings import read_number, read_section, read_settings
 
 STILL_COMING = 0.5  # seconds after SIGTERM in which new connections come: 0.2 to 0.4, and a little more
 # SIGKILL comes after the longest deadline and 0.7 s; a longer deadline than this one counts as this one
@@ -75,7 +75,7 @@
         raise ConfigError(f"seed must be hex digits, not {seed!r}") from None
     try:
         settings = read_settings(table.get("settings"))
-        sockets = int(number(section(table, "limits"), "sockets", 1024, "limits.", 64))
+        sockets = int(read_number(read_section(table, "limits"), "sockets", 1024, "limits.", 64))
         index, _, known = read_list(table.get("known"), "known")
     except (api.SettingsError, ListError) as e:
         raise ConfigError(str(e)) from e
--- a/brackenwalk/settings.py
+++ b/brackenwalk/settings.py
@@ -1,4 +1,4 @@
-"""Reads settings from the JSON form that the simulator and a deployment's configuration share."""
+"""Reads settings from JSON, as both the simulator and the router's configuration give them."""
 
 from __future__ import annotations
 
@@ -7,36 +7,46 @@
 
 from brackenwalk import interface as api
 
-EFFECTS = {
+RETRY_SAFETY = {
     "free": api.RetrySafety.SAFE,
     "guarded": api.RetrySafety.KEYED,
     "single_shot": api.RetrySafety.UNSAFE,
 }
 
 
-def number(table: dict[str, Any], field: str, default: float, where: str, least: float = 0.0) -> float:
-    """Read a number of the settings, or its default when absent; name the field when it can't be used."""
+def read_number(
+    table: dict[str, Any], field: str, default: float, prefix: str, minimum: float = 0.0
+) -> float:
+    """Return a number, or the default if the field is absent.
+
+    Raises SettingsError, which names the field by `prefix` and its key, if it is no number or too small.
+    """
     value = table.get(field)
     if value is None:
         return default
-    if isinstance(value, bool) or not isinstance(value, (int, float)) or value < least:
+    if isinstance(value, bool) or not isinstance(value, (int, float)) or value < minimum:
         raise api.SettingsError(
-            f"settings: {where}{field} must be a number of at least {least:g}, not {value!r}"
+            f"settings: {prefix}{field} must be a number of at least {minimum:g}, not {value!r}"
         )
     return value
 
 
-def choice(table: dict[str, Any], field: str, default: str, known: dict[str, Any], where: str) -> Any:
-    """Read one of a few known words."""
+def read_choice(table: dict[str, Any], field: str, default: str, choices: dict[str, Any], prefix: str) -> Any:
+    """Return what a word stands for in `choices`, or the default word if the field is absent.
+
+    Raises SettingsError for any other value.
+    """
     value = table.get(field)
     value = default if value is None else value
-    if not isinstance(value, str) or value not in known:
-        raise api.SettingsError(f"settings: {where}{field} must be one of {', '.join(known)}, not {value!r}")
-    return known[value]
+    if not isinstance(value, str) or value not in choices:
+        raise api.SettingsError(
+            f"settings: {prefix}{field} must be one of {', '.join(choices)}, not {value!r}"
+        )
+    return choices[value]
 
 
-def section(conf: dict[str, Any], field: str) -> dict[str, Any]:
-    """Read a nested object, empty when absent."""
+def read_section(conf: dict[str, Any], field: str) -> dict[str, Any]:
+    """Return a nested object, empty if the field is absent. Raises SettingsError for other values."""
     value = conf.get(field)
     if value is None:
         return {}
@@ -45,8 +55,8 @@
     return value
 
 
-def rows(conf: dict[str, Any], field: str) -> list[dict[str, Any]]:
-    """Read a list of named objects, empty when absent."""
+def read_rows(conf: dict[str, Any], field: str) -> list[dict[str, Any]]:
+    """Return a list of objects, empty if the field is absent. Raises SettingsError if one has no name."""
     value = conf.get(field)
     value = [] if value is None else value
     if not isinstance(value, list) or not all(isinstance(r, dict) for r in value):
@@ -58,53 +68,62 @@
 
 
 def read_class(row: dict[str, Any]) -> api.RequestClass:
-    """One class of the settings."""
-    where = f"classes[{row['name']}]."
+    """Read a request class; without a stated effect it is taken not to be safe to retry."""
+    prefix = f"classes[{row['name']}]."
     groups = {g.value: g for g in api.RepeatGroup}
     return api.RequestClass(
         name=row["name"],
-        aim=number(row, "aim", number(row, "giveUp", 1.0, where), where),
-        retry_safety=choice(row, "effect", "single_shot", EFFECTS, where),
-        repeat_group=choice(row, "group", "cell", groups, where),
-        repeat_window=number(row, "repeatWindow", 0.0, where),
-        value=number(row, "value", 1.0, where),
-        client_timeout=number(row, "giveUp", math.inf, where),
+        aim=read_number(row, "aim", read_number(row, "giveUp", 1.0, prefix), prefix),
+        retry_safety=read_choice(row, "effect", "single_shot", RETRY_SAFETY, prefix),
+        repeat_group=read_choice(row, "group", "cell", groups, prefix),
+        repeat_window=read_number(row, "repeatWindow", 0.0, prefix),
+        value=read_number(row, "value", 1.0, prefix),
+        client_timeout=read_number(row, "giveUp", math.inf, prefix),
     )
 
 
 def read_settings(conf: Any) -> api.Settings:
-    """The settings as the module's; unknown keys are ignored and absent ones take defaults."""
+    """Read all settings; unknown keys are ignored, and absent ones take their defaults.
+
+    Raises SettingsError, which names the field, for a value that can't be used.
+    """
     if not isinstance(conf, dict):
-        raise api.SettingsError("settings: conf must be an object")
-    classes = {row["name"]: read_class(row) for row in rows(conf, "classes")}
+        raise api.SettingsError("settings: must be an object")
+    classes = {row["name"]: read_class(row) for row in read_rows(conf, "classes")}
     if not classes:
         raise api.SettingsError("settings: classes is empty")
-    limits, rules, info = section(conf, "limits"), section(conf, "rules"), section(conf, "familyInfo")
-    prices = section(conf, "penalties")
+    limits, rules, info = (
+        read_section(conf, "limits"),
+        read_section(conf, "rules"),
+        read_section(conf, "familyInfo"),
+    )
+    costs = read_section(conf, "penalties")
     kinds = conf.get("skus") or []
-    origin = int(number(info, "originKind", -1, "familyInfo.", -1))
+    origin = int(read_number(info, "originKind", -1, "familyInfo.", -1))
     return api.Settings(
         classes=classes,
-        resolution=number(conf, "resolution", 0.005, ""),
-        aside=choice(info, "mode", "through", {"aside": True, "through": False}, "familyInfo."),
+        resolution=read_number(conf, "resolution", 0.005, ""),
+        aside=read_choice(info, "mode", "through", {"aside": True, "through": False}, "familyInfo."),
         origin_kind=str(kinds[origin]) if 0 <= origin < len(kinds) else None,
-        subscribe=choice(conf, "membershipMode", "automatic", {"subscribe": True, "automatic": False}, ""),
+        subscribe=read_choice(
+            conf, "membershipMode", "automatic", {"subscribe": True, "automatic": False}, ""
+        ),
         live_weights=conf.get("weights") == "live",
         second_copies=bool(limits.get("secondCopies", False)),
         may_cancel=bool(limits.get("mayCancel", False)),
         may_gossip=bool(limits.get("peers", False)),
-        max_attempts=max(1, int(number(limits, "mostTries", 1, "limits."))),
-        siblings=max(1, int(number(conf, "siblings", 1, ""))),
-        sibling_index=int(number(conf, "me", 0, "")),
-        idle_timeout=number(limits, "connIdle", 60.0, "limits."),
-        dial_timeout=number(limits, "dialTimeout", 0.25, "limits."),
-        max_retry_after=number(limits, "maxRetryAfter", 0.0, "limits."),
-        connection_cost=number(prices, "connection", 0.0, "penalties."),
-        handshake_cost=number(prices, "handshake", 0.0, "penalties."),
-        cold_share=number(rules, "coldFrom", 0.3, "rules."),
-        ramp=number(rules, "rampTime", 10.0, "rules."),
-        overload_factor=number(rules, "fallMultiple", 2.0, "rules."),
-        overload_window=number(rules, "overloadFor", 1.0, "rules."),
-        drain_grace=number(rules, "stopSendingWithin", 1.0, "rules."),
-        max_list_age=number(rules, "mustAskIn", 10.0, "rules."),
+        max_attempts=max(1, int(read_number(limits, "mostTries", 1, "limits."))),
+        siblings=max(1, int(read_number(conf, "siblings", 1, ""))),
+        sibling_index=int(read_number(conf, "me", 0, "")),
+        idle_timeout=read_number(limits, "connIdle", 60.0, "limits."),
+        dial_timeout=read_number(limits, "dialTimeout", 0.25, "limits."),
+        max_retry_after=read_number(limits, "maxRetryAfter", 0.0, "limits."),
+        connection_cost=read_number(costs, "connection", 0.0, "penalties."),
+        handshake_cost=read_number(costs, "handshake", 0.0, "penalties."),
+        cold_share=read_number(rules, "coldFrom", 0.3, "rules."),
+        ramp=read_number(rules, "rampTime", 10.0, "rules."),
+        overload_factor=read_number(rules, "fallMultiple", 2.0, "rules."),
+        overload_window=read_number(rules, "overloadFor", 1.0, "rules."),
+        drain_grace=read_number(rules, "stopSendingWithin", 1.0, "rules."),
+        max_list_age=read_number(rules, "mustAskIn", 10.0, "rules."),
     )
