--- a/brackenwalk/wirehost.py
+++ b/brackenwalk/wirehost.py
@@ -1,4 +1,7 @@
-"""Hosts routers on the JSON wire: translates both ways and decides nothing."""
+"""Hosts routers for the simulator: reads events and writes commands as JSON, one batch per line.
+
+It only translates; every decision is made in `policy.Router`.
+"""
 
 from __future__ import annotations
 
@@ -13,7 +16,7 @@
 from brackenwalk.settings import read_settings
 
 STATES = {"active": api.ServerState.READY, "leaving": api.ServerState.DRAINING, "left": api.ServerState.GONE}
-KINDS = {
+LIST_KINDS = {
     "INCREMENTAL": api.ListKind.DELTA,
     "FULL": api.ListKind.FULL,
     "SAVED": api.ListKind.SAVED,
@@ -33,29 +36,29 @@
 
 
 class WireError(ValueError):
-    """A line that breaks the wire's promises."""
+    """An input line that is not a batch of known events."""
 
 
-def read_entry(e: dict[str, Any]) -> api.ServerEntry:
-    """One line of a list."""
+def read_entry(row: dict[str, Any]) -> api.ServerEntry:
+    """Read one entry of a server list; an absent or negative weight becomes 0."""
     return api.ServerEntry(
-        server=e["server"],
-        state=STATES[e["readiness"]],
-        kind=e.get("generationHw") or "",
-        zone=e.get("site") or "",
-        cell=e.get("stripe") or 0,
-        weight=max(0.0, e.get("weight") or 0.0),
-        started_at=e.get("since") or 0.0,
+        server=row["server"],
+        state=STATES[row["readiness"]],
+        kind=row.get("generationHw") or "",
+        zone=row.get("site") or "",
+        cell=row.get("stripe") or 0,
+        weight=max(0.0, row.get("weight") or 0.0),
+        started_at=row.get("since") or 0.0,
     )
 
 
 def read_list(e: dict[str, Any]) -> api.Event:
-    """News of the list."""
-    return api.ServerList(KINDS[e["scope"]], tuple(map(read_entry, e.get("lines") or ())))
+    """Read a `Membership` event."""
+    return api.ServerList(LIST_KINDS[e["scope"]], tuple(map(read_entry, e.get("lines") or ())))
 
 
 def read_request(e: dict[str, Any]) -> api.Event:
-    """A client's request; a budget of nothing is kept as 0."""
+    """Read a `Request` event; an absent or negative time budget becomes 0."""
     return api.Request(
         e["ticket"],
         e["priority"],
@@ -67,7 +70,7 @@
 
 
 def read_outcome(e: dict[str, Any]) -> api.Event:
-    """The end of an attempt."""
+    """Read a `Done` event, the outcome of an attempt."""
     return api.Outcome(
         e["ticket"], e["sendNo"], STATUSES[e["outcome"]], bool(e.get("final")), e.get("lag") or 0.0
     )
@@ -82,18 +85,18 @@
     "Heard": lambda e: api.PeerMessage(bytes.fromhex(e["content"])),
     "Wake": lambda e: api.TimerFired(e["ctx"]),
 }
-UNUSED = {"Pong"}  # answers to things no router here asks for
+IGNORED = {"Pong"}  # answers to commands that no router sends
 
 
 def write_send(a: api.Send) -> dict[str, Any]:
-    """A new attempt."""
+    """Write a `Send` command; without a timeout the client's deadline holds."""
     if a.timeout is None:
         return {"op": "Send", "ticket": a.request_id, "server": a.server}
     return {"op": "Send", "ticket": a.request_id, "server": a.server, "timeout": a.timeout}
 
 
 def write_refuse(a: api.Refuse) -> dict[str, Any]:
-    """A refusal, with advice if there is any."""
+    """Write a `Reject` command, with a cool-down if the refusal advises one."""
     advice = {"coolDown": a.retry_after} if a.retry_after else {}
     return {"op": "Reject", "ticket": a.request_id, **advice}
 
@@ -111,60 +114,60 @@
 }
 
 
-class Host:
-    """One router for each instance number; nothing is shared between them."""
+class SimulatorHost:
+    """The routers of a simulation by their id; they share no state."""
 
     def __init__(self) -> None:
         self.routers: dict[int, Router] = {}
 
-    def batch(self, line: bytes) -> bytes:
-        """Answer one line of the wire."""
+    def handle_line(self, line: bytes) -> bytes:
+        """Handle one line of input and return the line of output. Raises WireError if it can't be read."""
         try:
             message = orjson.loads(line)
-            now, news = float(message["t"]), message["news"]
-            if not isinstance(news, list):
+            now, events = float(message["t"]), message["news"]
+            if not isinstance(events, list):
                 raise TypeError("news is not a list")
         except (orjson.JSONDecodeError, KeyError, TypeError, ValueError) as e:
-            raise WireError(f"not a batch: {e!r}") from e
+            raise WireError(f"input line is not a batch of events: {e!r}") from e
         commands: list[dict[str, Any]] = []
-        for event in news:
-            self.event(now, event, commands)
+        for event in events:
+            self.handle_event(now, event, commands)
         return orjson.dumps({"cmds": commands}) + b"\n"
 
-    def event(self, now: float, event: Any, commands: list[dict[str, Any]]) -> None:
-        """Hand one event to its router and append the actions in wire form."""
+    def handle_event(self, now: float, event: Any, commands: list[dict[str, Any]]) -> None:
+        """Hand an event to its router and append the commands; invalid settings give an `InternalError`."""
         try:
-            op, number_ = event["op"], event["routerId"]
+            op, router_id = event["op"], event["routerId"]
             if op == "Born":
-                self.routers[number_] = Router(read_settings(event["conf"]), event["initSeed"], now)
+                self.routers[router_id] = Router(read_settings(event["conf"]), event["initSeed"], now)
                 return
             if op == "Kill":
-                self.routers.pop(number_, None)
+                self.routers.pop(router_id, None)
                 return
-            if op in UNUSED:
+            if op in IGNORED:
                 return
-            read = READERS[op](event)
-            router = self.routers.get(number_)
+            parsed = READERS[op](event)
+            router = self.routers.get(router_id)
         except api.SettingsError as e:
             print(f"brackenwalk: {e}", file=sys.stderr)
-            commands.append({"op": "InternalError", "routerId": number_, "line": str(e)})
+            commands.append({"op": "InternalError", "routerId": router_id, "line": str(e)})
             return
         except (KeyError, TypeError, ValueError, AttributeError) as e:
             raise WireError(f"malformed event: {e!r} in {str(event)[:200]}") from e
         if router is None:
             return
-        for action in router.handle(now, read):
+        for action in router.handle(now, parsed):
             command = WRITERS[type(action)](action)
-            command["routerId"] = number_
+            command["routerId"] = router_id
             commands.append(command)
 
 
 def main() -> int:
-    """Answer line by line until the end of input."""
-    host = Host()
+    """Handle standard input line by line; returns the exit code, 2 after a line that can't be read."""
+    host = SimulatorHost()
     for line in sys.stdin.buffer:
         try:
-            reply = host.batch(line)
+            reply = host.handle_line(line)
         except WireError as e:
             print(f"brackenwalk: {e}", file=sys.stderr)
             return 2
--- a/tests/test_wirehost.py
+++ b/tests/test_wirehost.py
@@ -15,7 +15,7 @@
 from brackenwalk import wirehost
 from brackenwalk.calls import CALL
 from brackenwalk.settings import read_settings
-from brackenwalk.wirehost import Host, WireError
+from brackenwalk.wirehost import SimulatorHost, WireError
 
 ROOT = Path(__file__).parent.parent
 CONF: dict[str, Any] = {
@@ -42,15 +42,15 @@
     return {**base, "server": server, "weight": 1.0, **fields}
 
 
-def play(host: Host, t: float, *news: dict[str, Any]) -> list[dict[str, Any]]:
+def play(host: SimulatorHost, t: float, *news: dict[str, Any]) -> list[dict[str, Any]]:
     line = json.dumps({"t": t, "news": [{"routerId": 3, **e} for e in news]}).encode()
-    commands = json.loads(host.batch(line))["cmds"]
+    commands = json.loads(host.handle_line(line))["cmds"]
     assert all(c.pop("routerId") == 3 for c in commands)
     return list(commands)
 
 
-def born(**changes: Any) -> Host:
-    host = Host()
+def born(**changes: Any) -> SimulatorHost:
+    host = SimulatorHost()
     lines = [row("a"), row("o", "store")]
     commands = play(
         host,
@@ -116,7 +116,7 @@
 def test_unusable_settings_name_the_field(
     change: dict[str, Any], field: str, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    (fault,) = play(Host(), 1.0, {"op": "Born", "initSeed": 1, "conf": {**CONF, **change}})
+    (fault,) = play(SimulatorHost(), 1.0, {"op": "Born", "initSeed": 1, "conf": {**CONF, **change}})
     assert fault["op"] == "InternalError" and field in fault["line"]
     assert field in capsys.readouterr().err
 
@@ -205,7 +205,7 @@
 )
 def test_malformed_lines_are_told_plainly(line: bytes) -> None:
     with pytest.raises(WireError):
-        Host().batch(line)
+        SimulatorHost().handle_line(line)
 
 
 def run(stdin: bytes, hash_seed: str = "0") -> subprocess.CompletedProcess[bytes]:
