--- a/brackenwalk/__init__.py
+++ b/brackenwalk/__init__.py
@@ -1,4 +1,4 @@
-"""brackenwalk: the decisions of a router in front of a fleet of cache servers."""
+"""The decision module and the host of a request router in front of a fleet of cache servers."""
 
 from brackenwalk import interface
 from brackenwalk.policy import Router
