--- a/tests/driver.py
+++ b/tests/driver.py
@@ -1,4 +1,8 @@
-"""Drives one router by hand and keeps the four rules' books beside it."""
+"""Drives one router by hand and checks each of its actions against the rules for routers.
+
+Rule 1: each request gets exactly one final answer, in time. Rule 2: no request can have a second effect.
+Rule 3: nothing is sent to a server that drains or is gone.
+"""
 
 from __future__ import annotations
 
@@ -29,31 +33,31 @@
 
 
 class Driver:
-    """A router with a clock, and what a client, the servers and the rules would see of it."""
+    """A router with a simulated clock, and what its clients, servers and peers see of it."""
 
-    def __init__(self, conf: api.Settings, seed: int = 1, make: type[Router] = Router) -> None:
+    def __init__(self, conf: api.Settings, seed: int = 1, router_class: type[Router] = Router) -> None:
         self.conf = conf
         self.now = 100.0
-        self.router = make(conf, seed, self.now)
+        self.router = router_class(conf, seed, self.now)
         self.open: dict[str, api.Request] = {}
-        self.due: dict[str, float] = {}
+        self.deadlines: dict[str, float] = {}
         self.ended: dict[str, str] = {}
         self.sends: dict[str, list[str]] = {}
         self.sent_at: dict[str, list[float]] = {}
-        self.state: dict[tuple[str, int], api.Status | None] = {}
-        self.expiry: dict[tuple[str, int], float] = {}
+        self.outcomes: dict[tuple[str, int], api.Status | None] = {}
+        self.timeouts: dict[tuple[str, int], float] = {}
         self.timers: list[tuple[float, str]] = []
         self.listed: dict[str, api.ServerEntry] = {}
-        self.last: list[api.Action] = []
-        self.broadcasts: list[bytes] = []  # messages to the peers
+        self.last_actions: list[api.Action] = []
+        self.broadcasts: list[bytes] = []
 
     def feed(self, event: api.Event) -> list[api.Action]:
-        self.last = self.router.handle(self.now, event)
-        for action in self.last:
+        self.last_actions = self.router.handle(self.now, event)
+        for action in self.last_actions:
             self.check(action)
-        return self.last
+        return self.last_actions
 
-    # What each action means, and the rules it must keep
+    # Records each action, and checks it against the rules
 
     def check(self, action: api.Action) -> None:
         if isinstance(action, api.SetTimer):
@@ -63,7 +67,7 @@
             assert 0 < len(action.content) <= 256
             self.broadcasts.append(action.content)
         elif isinstance(action, api.Cancel):
-            assert (action.request_id, action.attempt) in self.state, "cancels an attempt never made"
+            assert (action.request_id, action.attempt) in self.outcomes, "cancels an attempt never made"
         elif isinstance(action, api.Send):
             self.check_send(action)
         elif isinstance(action, api.Refuse):
@@ -79,39 +83,43 @@
         assert target is not None and target.state is api.ServerState.READY, (
             "rule 3: sends to a drained server"
         )
-        kind = self.conf.classes[self.open[name].request_class]
+        spec = self.conf.classes[self.open[name].request_class]
         earlier = self.sends.setdefault(name, [])
         assert len(earlier) < self.conf.max_attempts, "more attempts than allowed"
-        ran = [i for i in range(len(earlier)) if self.state[name, i] not in NEVER_RAN]
-        outstanding = [i for i in ran if self.state[name, i] is None]
+        ran = [i for i in range(len(earlier)) if self.outcomes[name, i] not in NEVER_RAN]
+        outstanding = [i for i in ran if self.outcomes[name, i] is None]
         assert self.conf.second_copies or not outstanding, "rule 2: two copies out at once"
-        if ran and kind.retry_safety is not api.RetrySafety.SAFE:
-            assert kind.retry_safety is api.RetrySafety.KEYED, "rule 2: an unsafe request sent again"
+        if ran and spec.retry_safety is not api.RetrySafety.SAFE:
+            assert spec.retry_safety is api.RetrySafety.KEYED, "rule 2: an unsafe request sent again"
             first = min(self.sent_at[name][i] for i in ran)
-            assert self.now <= first + kind.repeat_window, "rule 2: a keyed request sent after its window"
+            assert self.now <= first + spec.repeat_window, "rule 2: a keyed request sent after its window"
             for i in ran:
                 other = self.listed.get(earlier[i])
-                same = kind.repeat_group is api.RepeatGroup.ALL or (
+                same = spec.repeat_group is api.RepeatGroup.ALL or (
                     other is not None
                     and (
                         other.zone == target.zone
-                        if kind.repeat_group is api.RepeatGroup.ZONE
+                        if spec.repeat_group is api.RepeatGroup.ZONE
                         else other.cell == target.cell
                     )
                 )
                 assert same, "rule 2: a keyed request sent outside its group"
-        self.state[name, len(earlier)] = None
-        limit = self.due[name] if action.timeout is None else min(self.due[name], self.now + action.timeout)
-        self.expiry[name, len(earlier)] = limit
+        self.outcomes[name, len(earlier)] = None
+        limit = (
+            self.deadlines[name]
+            if action.timeout is None
+            else min(self.deadlines[name], self.now + action.timeout)
+        )
+        self.timeouts[name, len(earlier)] = limit
         earlier.append(action.server)
         self.sent_at.setdefault(name, []).append(self.now)
 
     def check_refusal(self, name: str) -> None:
         assert name in self.open, "rule 1: a second answer"
-        kind = self.conf.classes[self.open[name].request_class]
-        ran = [i for i in range(len(self.sends.get(name, []))) if self.state[name, i] not in NEVER_RAN]
-        if ran and kind.retry_safety is not api.RetrySafety.SAFE:
-            harmless = kind.retry_safety is api.RetrySafety.KEYED and kind.repeat_group is api.RepeatGroup.ALL
+        spec = self.conf.classes[self.open[name].request_class]
+        ran = [i for i in range(len(self.sends.get(name, []))) if self.outcomes[name, i] not in NEVER_RAN]
+        if ran and spec.retry_safety is not api.RetrySafety.SAFE:
+            harmless = spec.retry_safety is api.RetrySafety.KEYED and spec.repeat_group is api.RepeatGroup.ALL
             assert harmless, "rule 2: a refusal of what may have run"
 
     def finish(self, name: str, how: str) -> None:
@@ -119,7 +127,7 @@
         del self.open[name]
         self.ended[name] = how
 
-    # Moves
+    # Events
 
     def list(self, *entries: api.ServerEntry, kind: api.ListKind = api.ListKind.FULL) -> list[api.Action]:
         if kind in (api.ListKind.FULL, api.ListKind.SAVED):
@@ -129,12 +137,12 @@
         return self.feed(api.ServerList(kind, entries))
 
     def request(self, name: str, finish: bool = False, **fields: Any) -> str | None:
-        """A request arrives; answers with the server its first attempt went to, if any."""
+        """Deliver a request; returns the server that its first attempt went to, if any."""
         fields.setdefault("request_class", "read")
         fields.setdefault("time_left", 2.0)
         event = api.Request(name, **fields)
         self.open[name] = event
-        self.due[name] = self.now + event.time_left
+        self.deadlines[name] = self.now + event.time_left
         self.feed(event)
         sent = self.sends.get(name, [None])[0]
         if finish:
@@ -144,11 +152,11 @@
     def end(
         self, name: str, status: api.Status, attempt: int | None = None, latency: float = 0.05
     ) -> str | None:
-        """An attempt ends; answers with the server that the next one went to, if one was sent."""
+        """End an attempt; returns the server that the next attempt went to, if one was sent."""
         count = len(self.sends[name])
         number = count - 1 if attempt is None else attempt
-        assert self.state[name, number] is None
-        self.state[name, number] = status
+        assert self.outcomes[name, number] is None
+        self.outcomes[name, number] = status
         closed = status is api.Status.OK or name not in self.open
         if closed and name in self.open:
             self.finish(name, "served")
@@ -159,11 +167,11 @@
         self.end(name, api.Status.OK)
 
     def wait(self, seconds: float) -> None:
-        """Let time pass, with timers and time-outs in their order."""
+        """Advance the clock, and deliver timers and time-outs in order."""
         until = self.now + seconds
         while True:
             due = [(t, "", n, None) for t, n in self.timers]
-            due += [(t, n, "", i) for (n, i), t in self.expiry.items() if self.state[n, i] is None]  # type: ignore[misc]
+            due += [(t, n, "", i) for (n, i), t in self.timeouts.items() if self.outcomes[n, i] is None]  # type: ignore[misc]
             due.sort(key=lambda d: d[:3])
             if not due or due[0][0] > until:
                 break
@@ -179,5 +187,5 @@
         self.check_overdue()
 
     def check_overdue(self) -> None:
-        late = [n for n in self.open if self.now > self.due[n] + 0.02]
+        late = [n for n in self.open if self.now > self.deadlines[n] + 0.02]
         assert not late, f"rule 1: no answer in time for {late}"
--- a/tests/test_demand.py
+++ b/tests/test_demand.py
@@ -99,7 +99,7 @@
     """Where a request goes, and what peers are told meanwhile."""
     d.now += 0.01
     server = d.request(name, key=key)
-    told = [a.content for a in d.last if isinstance(a, api.Broadcast)]
+    told = [a.content for a in d.last_actions if isinstance(a, api.Broadcast)]
     d.ok(name)
     return server, told
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -75,7 +75,7 @@
     d.list(*fleet("a", "b", "c"))
     d.request("r")
     d.wait(1.9)
-    outstanding = [i for i in range(len(d.sends["r"])) if d.state["r", i] is None]
+    outstanding = [i for i in range(len(d.sends["r"])) if d.outcomes["r", i] is None]
     assert len(outstanding) <= 1
 
 
@@ -153,7 +153,7 @@
         said = [d.list(*fleet("a", "b", "c"), kind=api.ListKind.SAVED), d.list(kind=api.ListKind.FAILED)]
         for n in range(30):
             d.request(f"r{n}", key=f"k{n}")
-            said.append(d.last)
+            said.append(d.last_actions)
         return said
 
     assert run() == run()
@@ -163,7 +163,7 @@
     d = Driver(settings(subscribe=True))
     d.list(*fleet("a"), kind=api.ListKind.SAVED)
     d.wait(calls.CALL)
-    assert d.last == [api.Subscribe()]
+    assert d.last_actions == [api.Subscribe()]
     pauses = []
     for _ in range(6):
         timer, log = d.feed(api.ServerList(api.ListKind.FAILED))
@@ -185,7 +185,7 @@
     for number in range(siblings):
         d = Driver(settings(subscribe=True, siblings=siblings, sibling_index=number, ramp=23.0), seed=number)
         d.list(*fleet("a"), kind=api.ListKind.SAVED)
-        (turn,) = (a for a in d.last if isinstance(a, api.SetTimer))
+        (turn,) = (a for a in d.last_actions if isinstance(a, api.SetTimer))
         turns.append(turn.delay)
     turns.sort()
     assert turns[-1] < min(calls.CALL * siblings, 5.0)  # half of the 10 s in which each must have asked
@@ -270,7 +270,7 @@
 
     def step(self, data: st.DataObject, n: int) -> None:
         move = data.draw(st.sampled_from(["request"] * 4 + ["end"] * 5 + ["wait"] * 2 + ["list", "gone"]))
-        outstanding = [k for k, s in self.state.items() if s is None]
+        outstanding = [k for k, s in self.outcomes.items() if s is None]
         if move == "request":
             names = sorted(self.conf.classes)
             self.request(
@@ -319,7 +319,7 @@
     return {c.name: c for c in (api.RequestClass("read", 1.0), keyed, once, late)}
 
 
-def drive(data: st.DataObject, make: type[Router] = Router) -> None:
+def drive(data: st.DataObject, router_class: type[Router] = Router) -> None:
     conf = settings(
         classes=groups(data.draw(st.sampled_from(list(api.RepeatGroup)))),
         second_copies=data.draw(st.booleans()),
@@ -328,7 +328,7 @@
         subscribe=data.draw(st.booleans()),
         **(ASIDE if data.draw(st.booleans()) else {}),
     )
-    d = Random(conf, make=make)
+    d = Random(conf, router_class=router_class)
     d.list(*fleet("a", "b", "c", "d", "o"), kind=api.ListKind.SAVED)
     for n in range(data.draw(st.integers(5, 40))):
         d.step(data, n)
@@ -398,7 +398,7 @@
     d.list(*fleet("a", "b", "c", "d"))
     for n in range(200):
         d.request(f"r{n}", key=f"k{n}")
-        while f"r{n}" in d.sends and d.state[f"r{n}", len(d.sends[f"r{n}"]) - 1] is None:
+        while f"r{n}" in d.sends and d.outcomes[f"r{n}", len(d.sends[f"r{n}"]) - 1] is None:
             d.end(f"r{n}", api.Status.RESET)
         d.now += 0.01
     assert sum(map(len, d.sends.values())) <= 200 * 1.2 + 11
@@ -622,11 +622,11 @@
     for n in range(40):
         d.request(f"r{n + 1}", key=f"k{n}", finish=True)
     d.wait(0.1)
-    assert isinstance(d.last[0], api.CloseIdle)
+    assert isinstance(d.last_actions[0], api.CloseIdle)
     few = Driver(settings(siblings=1, connection_cost=0.03, handshake_cost=0.03))
     few.list(*fleet("a", "b"))
     few.request("r", finish=True)
-    assert not [a for a in few.last if isinstance(a, api.CloseIdle)]
+    assert not [a for a in few.last_actions if isinstance(a, api.CloseIdle)]
 
 
 def test_servers_that_can_do_nothing_at_their_start_stop_no_router() -> None:
@@ -682,7 +682,7 @@
     closed: set[str] = set()
     while len(closed) < 2 and d.now < 200.0:
         d.wait(0.05)
-        closed |= {a.server for a in d.last if isinstance(a, api.CloseIdle)}
+        closed |= {a.server for a in d.last_actions if isinstance(a, api.CloseIdle)}
     assert closed == {"a", "b"}
 
 
@@ -801,7 +801,7 @@
     told = []
     for n in range(20):
         d.request(f"w{n + 1}", key="k1", write=True)
-        told += [a.retry_after for a in d.last if isinstance(a, api.Refuse)]
+        told += [a.retry_after for a in d.last_actions if isinstance(a, api.Refuse)]
     assert len(told) == 20 and all(least <= t <= most for t in told)
     assert len(set(told)) == (20 if longest else 1)
 
@@ -832,7 +832,7 @@
     d.wait(0.4)
     assert len(d.sends["r1"]) == 2 and d.sends["r1"][1] != first
     d.end("r1", api.Status.OK, 1)
-    assert d.ended["r1"] == "served" and api.Cancel("r1", 0) in d.last
+    assert d.ended["r1"] == "served" and api.Cancel("r1", 0) in d.last_actions
 
 
 def test_a_miss_of_the_copy_goes_on_to_the_origin_though_the_first_is_still_out() -> None:
@@ -914,7 +914,7 @@
             looked += 1
             return super()._origin()
 
-    d = Driver(settings(**ASIDE), make=Counted)
+    d = Driver(settings(**ASIDE), router_class=Counted)
     d.list(*fleet("a", "b"), entry("o", kind="origin"))
     for n in range(200):
         d.request(f"w{n}", request_class="once", write=True)
