--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""The four rules, each alone, and all of them under random legal sequences of events."""
+"""The rules for routers (see tests/driver.py), each alone and all under random legal sequences of events."""
 
 from __future__ import annotations
 
@@ -49,7 +49,7 @@
     d.list(*fleet("a", "b", "c"))
     d.request("r", request_class="keyed", time_left=3.0)
     assert d.end("r", api.Status.RESET) is not None
-    for after in (1.6, 1.3):  # a send may go out only when its connection is up, a quarter of a second later
+    for after in (1.6, 1.3):  # a dial may delay the send by a quarter of a second
         late = Driver(settings())
         late.list(*fleet("a", "b", "c"))
         late.request("r", request_class="keyed", time_left=3.0)
@@ -79,7 +79,7 @@
     assert len(outstanding) <= 1
 
 
-def test_held_requests_are_answered_in_time_without_any_server() -> None:
+def test_queued_requests_are_answered_in_time_without_any_server() -> None:
     d = Driver(settings())
     d.request("r")
     assert not d.sends
@@ -87,7 +87,7 @@
     assert d.ended["r"] == "refused"
 
 
-def test_held_requests_go_out_when_a_server_is_listed() -> None:
+def test_queued_requests_are_sent_when_a_server_is_listed() -> None:
     d = Driver(settings())
     d.request("r")
     d.now += 0.2
@@ -96,7 +96,7 @@
 
 
 @pytest.mark.parametrize("time_left", [0.0, 0.001])
-def test_a_budget_of_nothing_is_refused_at_once(time_left: float) -> None:
+def test_a_request_without_time_left_is_refused_at_once(time_left: float) -> None:
     d = Driver(settings())
     d.list(*fleet("a"))
     d.request("r", time_left=time_left)
@@ -113,7 +113,7 @@
     assert len(d.ended) == 60
 
 
-def test_client_gone_ends_everything_for_it() -> None:
+def test_a_disconnected_client_ends_its_request_and_cancels_its_attempts() -> None:
     d = Driver(settings())
     d.list(*fleet("a", "b"))
     d.request("r")
@@ -123,7 +123,7 @@
     assert d.feed(api.ClientGone("r")) == []
 
 
-def test_unknown_things_are_passed_over() -> None:
+def test_events_for_unknown_requests_and_servers_are_ignored() -> None:
     d = Driver(settings())
     for event in (
         api.Outcome("x", 0, api.Status.OK, True),
@@ -138,7 +138,7 @@
     assert d.router.handle(d.now, api.Request("r", "unheard-of", 1.0)) == [api.Refuse("r")]
 
 
-def test_a_stream_that_began_is_left_alone() -> None:
+def test_a_response_that_has_started_is_not_retried() -> None:
     d = Driver(settings())
     d.list(*fleet("a", "b"))
     d.request("r")
@@ -176,10 +176,11 @@
 
 
 @pytest.mark.parametrize("siblings", [1, 4, 40, 200])
-def test_routers_that_start_together_ask_for_the_list_in_turn(siblings: int) -> None:
-    """Forty asked at once: sixteen were answered, and the others failed and asked again together.
+def test_routers_that_start_together_poll_discovery_in_turn(siblings: int) -> None:
+    """Guards against calls in step: of 40 at once 16 were answered, and the others called again together.
 
-    Of two hundred in the turns of forty the last asked after 25 s, and sent to servers long gone.
+    Guards as well against turns of fixed length: of 200 routers the last polled after 25 s, and until then
+    sent to servers that were long gone.
     """
     turns = []
     for number in range(siblings):
@@ -188,13 +189,13 @@
         (turn,) = (a for a in d.last_actions if isinstance(a, api.SetTimer))
         turns.append(turn.delay)
     turns.sort()
-    assert turns[-1] < min(calls.CALL * siblings, 5.0)  # half of the 10 s in which each must have asked
+    assert turns[-1] < min(calls.CALL * siblings, 5.0)  # half of the 10 s in which each must have polled
     for start in turns:
         assert sum(start <= t < start + 2.0 for t in turns) <= max(2.0 / calls.CALL, 0.4 * siblings) + 2
 
 
-def test_routers_told_together_of_a_new_discovery_do_not_ask_in_step() -> None:
-    """All called in the instant of their SIGHUP; what they held of the list stays as it is."""
+def test_routers_given_a_new_discovery_together_do_not_poll_it_in_step() -> None:
+    """Guards against a call from every router at the instant of its SIGHUP; the current list stays in use."""
     pauses = []
     for number in range(200):
         d = Driver(settings(subscribe=True, siblings=200, sibling_index=number), seed=number)
@@ -203,13 +204,13 @@
         assert isinstance(timer, api.SetTimer)
         pauses.append(timer.delay)
         assert d.feed(api.TimerFired(timer.token)) == [api.Subscribe()] and d.request("r") == "a"
-    assert max(pauses) < 1.5  # by then the old watches end
+    assert max(pauses) < 1.5  # when the old watches end
     assert max(sum(start <= t < start + 0.1 for t in pauses) for start in pauses) < 50
 
 
 @pytest.mark.parametrize("siblings", [40, 200])
-def test_calls_that_failed_are_spread_over_the_turns_of_all(siblings: int) -> None:
-    """A second call after half a second came before discovery had worked through the first ones."""
+def test_retries_of_failed_calls_are_spread_over_all_turns(siblings: int) -> None:
+    """Guards against a second call after half a second, before discovery has worked off the first ones."""
     pauses = []
     for number in range(siblings):
         d = Driver(settings(subscribe=True, siblings=siblings, sibling_index=number, ramp=23.0), seed=number)
@@ -229,23 +230,23 @@
 
 
 @pytest.mark.parametrize("siblings", [1, 6, 230])
-def test_a_pushed_list_is_asked_for_again_well_within_the_grace(siblings: int) -> None:
-    """What the agent has counts as told: a pause of half a ramp broke the rule on drains."""
+def test_a_pushed_list_is_requested_again_well_within_the_drain_grace(siblings: int) -> None:
+    """The router is bound by what its local agent has received: a pause of half a warm-up broke rule 3."""
     conf = settings(siblings=siblings, drain_grace=0.5, overload_window=3.0, ramp=23.0)
     pauses = pauses_after_failures(conf, 20)
     assert pauses[0] <= calls.CALL and max(pauses) <= 0.25
 
 
-def test_few_routers_ask_again_before_silence_counts_as_told() -> None:
-    """The window of cold servers said how long to wait: news came after it counted as told."""
+def test_few_routers_poll_again_before_changes_bind_them() -> None:
+    """Guards against pauses as long as the overload window: changes came after they bound the router."""
     conf = settings(subscribe=True, siblings=6, overload_window=3.0, ramp=60.0, max_list_age=10.0)
     pauses = pauses_after_failures(conf, 20)
     assert discovery.WATCH_WAIT + discovery.ANSWER_MARGIN + pauses[0] < 6.0
     assert max(pauses) <= 5.0
 
 
-def test_warming_server_gets_its_share_and_not_more() -> None:
-    """A surge of a thousand requests in a second just after a start: not the full arcs."""
+def test_a_cold_server_gets_its_warm_up_share_and_no_more() -> None:
+    """A surge of a thousand requests in a second, just after a start, must not use its whole share."""
     d = Driver(settings(ramp=10.0, cold_share=0.3, overload_factor=2.0, overload_window=1.0))
     d.list(entry("a"), entry("b"), entry("c"))
     for n in range(4000):
@@ -254,10 +255,10 @@
         d.now += 0.01 if n < 3000 else 0.001
         d.request(f"r{n}", key=f"k{n}", finish=True)
     cold = sum(s == ["d"] for s in d.sends.values())
-    assert 5 < cold < 1000 / 4 * 0.55  # a third of its arcs, which are somewhat large
+    assert 5 < cold < 1000 / 4 * 0.55  # a third of its share, which is somewhat large
 
 
-def test_warm_server_gets_all_its_arcs_again() -> None:
+def test_a_warm_server_gets_its_whole_share_again() -> None:
     d = Driver(settings(ramp=10.0, cold_share=0.3))
     d.list(entry("a"), entry("b", started_at=d.now))
     d.now += 10.0
@@ -266,7 +267,7 @@
 
 
 class Random(Driver):
-    """Random legal events, chosen by hypothesis."""
+    """Delivers random legal events, drawn by hypothesis."""
 
     def step(self, data: st.DataObject, n: int) -> None:
         move = data.draw(st.sampled_from(["request"] * 4 + ["end"] * 5 + ["wait"] * 2 + ["list", "gone"]))
@@ -312,16 +313,16 @@
             self.list(*rows, kind=kind)
 
 
-def groups(group: api.RepeatGroup) -> dict[str, api.RequestClass]:
+def classes_in(group: api.RepeatGroup) -> dict[str, api.RequestClass]:
     keyed = api.RequestClass("keyed", 1.0, api.RetrySafety.KEYED, group, repeat_window=0.5, value=5.0)
     once = api.RequestClass("once", 1.0, api.RetrySafety.UNSAFE, value=5.0)
     late = api.RequestClass("late", 0.5)
     return {c.name: c for c in (api.RequestClass("read", 1.0), keyed, once, late)}
 
 
-def drive(data: st.DataObject, router_class: type[Router] = Router) -> None:
+def run_random_events(data: st.DataObject, router_class: type[Router] = Router) -> None:
     conf = settings(
-        classes=groups(data.draw(st.sampled_from(list(api.RepeatGroup)))),
+        classes=classes_in(data.draw(st.sampled_from(list(api.RepeatGroup)))),
         second_copies=data.draw(st.booleans()),
         may_cancel=data.draw(st.booleans()),
         max_attempts=data.draw(st.sampled_from([1, 3, 6])),
@@ -334,7 +335,7 @@
         d.step(data, n)
     d.wait(10.0)
     assert not d.open, "rule 1: left without an answer"
-    assert not d.router.pending, "something is still held"
+    assert not d.router.pending, "requests left pending"
 
 
 CHECKS = hypothesis_settings(
@@ -350,37 +351,37 @@
 @CHECKS
 @given(st.data())
 def test_rules_hold_under_random_events(data: st.DataObject) -> None:
-    drive(data)
+    run_random_events(data)
 
 
 class Resender(Router):
-    """Broken on purpose: sends anything again."""
+    """Broken on purpose: retries every request, even an unsafe one."""
 
-    def _permits(self, held: Any, server: Any) -> bool:
+    def _permits(self, req: Any, server: Any) -> bool:
         return True
 
 
-class Forgetter(Router):
-    """Broken on purpose: sets no timer for what it holds."""
+class TimerDropper(Router):
+    """Broken on purpose: sets no timers for queued requests."""
 
-    def _enqueue(self, held: Any) -> None:
-        super()._enqueue(held)
+    def _enqueue(self, req: Any) -> None:
+        super()._enqueue(req)
         self.actions = [a for a in self.actions if not isinstance(a, api.SetTimer)]
 
 
-@pytest.mark.parametrize("broken", [Resender, Forgetter])
+@pytest.mark.parametrize("broken", [Resender, TimerDropper])
 def test_the_property_test_catches_a_broken_module(broken: type[Router]) -> None:
     @CHECKS
     @given(st.data())
     def attempt(data: st.DataObject) -> None:
-        drive(data, broken)
+        run_random_events(data, broken)
 
     with pytest.raises(AssertionError):
         attempt()
 
 
-def test_a_server_slow_under_our_load_gets_less_of_it() -> None:
-    """Servers driven past what they bear answered late or not at all, and nothing held us back."""
+def test_a_server_slowed_by_load_gets_fewer_requests() -> None:
+    """Guards against overload without a concurrency limit: servers answered late or not at all."""
     d = Driver(settings())
     d.list(entry("a"))
     for n in range(40):
@@ -392,8 +393,8 @@
     assert [d.ended[f"r{n}"] for n in range(1, 10)] == ["refused"] * 9
 
 
-def test_retries_are_bounded_by_what_was_taken() -> None:
-    """Failing servers made every request into many attempts and fed the overload."""
+def test_retries_are_bounded_by_the_number_of_requests() -> None:
+    """Guards against retry storms: failing servers turned each request into many attempts."""
     d = Driver(settings())
     d.list(*fleet("a", "b", "c", "d"))
     for n in range(200):
@@ -404,8 +405,8 @@
     assert sum(map(len, d.sends.values())) <= 200 * 1.2 + 11
 
 
-def test_refusals_as_full_spend_no_retries() -> None:
-    """Small waiting rooms turned a third of attempts away; requests were refused beside servers with room."""
+def test_retries_after_busy_spend_no_budget() -> None:
+    """Guards against refusals while other servers are free: small queues turned a third of attempts away."""
     d = Driver(settings())
     d.list(*fleet("a", "b", "c", "d"))
     d.router.retry_budget = 0.0
@@ -415,8 +416,8 @@
     assert d.end("r", api.Status.RESET) is None
 
 
-def test_refusals_as_full_spend_retries_when_all_is_full() -> None:
-    """In an overload nine attempts in ten were refused as full, and five went out for each request."""
+def test_retries_after_busy_spend_budget_when_most_attempts_fail() -> None:
+    """Guards against feeding an overload: nine attempts in ten were answered busy, five for each request."""
     d = Driver(settings())
     d.list(*fleet("a", "b", "c", "d"))
     d.request("r", key="k")
@@ -424,18 +425,18 @@
     assert d.end("r", api.Status.BUSY) is None and d.ended["r"] == "refused"
 
 
-def missed(d: Driver, *names: str, key: str = "k") -> None:
+def miss(d: Driver, *names: str, key: str = "k") -> None:
     for name in names:
         d.request(name, key=key)
         d.end(name, api.Status.MISS)
 
 
 @pytest.mark.parametrize("how", ["gone", "failed"])
-def test_a_lost_fetch_does_not_strand_those_waiting(how: str) -> None:
+def test_a_lost_fetch_does_not_strand_queued_requests(how: str) -> None:
     d = Driver(settings(**ASIDE))
     d.list(*fleet("a", "o"))
     d.router.servers["o"].limit = 1.0
-    missed(d, "r1", "r2", "r3")
+    miss(d, "r1", "r2", "r3")
     assert [d.sends[n] for n in ("r1", "r2", "r3")] == [["a", "o"], ["a"], ["a"]]
     if how == "gone":
         d.finish("r1", "gone")
@@ -446,36 +447,36 @@
     assert not d.open
 
 
-def crowd(d: Driver, *names: str) -> None:
+def fill(d: Driver, *names: str) -> None:
     for name in names:
         d.router.servers[name].limit = 0.0
 
 
-def order_of(d: Driver, key: str) -> list[str]:
-    """The servers clockwise from a key, each once."""
+def walk_order(d: Driver, key: str) -> list[str]:
+    """Return the servers clockwise from a key, each once."""
     r = d.router
     around = r.ring.clockwise(ring_hash(key)[0], len(r.ring.positions))
     return list(dict.fromkeys(server.entry.server for server, _ in around))
 
 
-def test_a_key_goes_no_further_than_the_second_crowded_server() -> None:
-    """Crowded servers sent keys on to servers that lack them: hits became misses, and all were crowded."""
+def test_a_key_spills_no_further_than_the_second_full_server() -> None:
+    """Guards against a long spill: servers further on lack the key, and the misses then overload all."""
     d = Driver(settings())
     d.list(*fleet("a", "b", "c", "d"))
-    first, second, third, _ = order_of(d, "k")
-    crowd(d, first)
+    first, second, third, _ = walk_order(d, "k")
+    fill(d, first)
     assert d.request("r1", key="k") == second
-    crowd(d, second)
+    fill(d, second)
     assert d.request("r2", key="k") is None and d.ended["r2"] == "refused"
     assert d.router.servers[third].in_flight == 0
 
 
-def test_silent_servers_are_passed_without_being_counted() -> None:
-    """Servers behind a cut used up the two that a key may pass, and their keys were refused."""
+def test_silent_servers_do_not_count_as_full_servers() -> None:
+    """Guards against refusals in a partition: unreachable servers used up the two that a key may pass."""
     d = Driver(settings(second_copies=False))
     d.list(*fleet("a", "b", "c", "d"))
-    first, second, third, _ = order_of(d, "k")
-    crowd(d, first, second)
+    first, second, third, _ = walk_order(d, "k")
+    fill(d, first, second)
     for name in (first, second):
         d.router.servers[name].in_flight = 1
         d.router.servers[name].unanswered_since = d.now - 1.5
@@ -485,8 +486,8 @@
 def test_a_silent_server_gets_one_trial_at_a_time_until_it_answers() -> None:
     d = Driver(settings())
     d.list(*fleet("a", "b"))
-    d.router.gossip.tell_at = math.inf  # or so hot a key would be shared out
-    first, second = order_of(d, "k")
+    d.router.gossip.tell_at = math.inf  # no plan, or so hot a key would be spread
+    first, second = walk_order(d, "k")
     assert [d.request(f"r{n}", key="k") for n in "12"] == [first, first]
     d.now += 1.1
     assert d.request("r3", key="k", finish=True) == second
@@ -498,8 +499,8 @@
     assert d.request("r6", key="k") == first
 
 
-def test_one_slow_answer_does_not_cut_a_limit() -> None:
-    """A single heavy request cut the limit of a server that was well."""
+def test_one_slow_answer_does_not_cut_the_limit() -> None:
+    """Guards against cutting the limit of a healthy server for a single expensive request."""
     d = Driver(settings())
     d.list(*fleet("a"))
     for n in range(20):
@@ -508,14 +509,14 @@
     assert d.router.servers["a"].limit >= state.INITIAL_LIMIT
 
 
-def test_no_fetch_is_sent_that_cannot_be_back_in_time() -> None:
-    """With a slow origin, fetches were sent that came back after the aim, and kept others out."""
+def test_no_fetch_is_sent_that_cannot_return_in_time() -> None:
+    """Guards against fetches that return after the aim and keep others out, as with a slow origin."""
     d = Driver(settings(**ASIDE))
     d.list(*fleet("a", "o"))
     d.router.servers["o"].limit = 2.0
     d.router.servers["o"].latency = 0.45
     for n in "123":
-        missed(d, f"r{n}", key=f"k{n}")
+        miss(d, f"r{n}", key=f"k{n}")
     assert d.sends["r2"] == ["a", "o"] and d.sends["r3"] == ["a"]
     d.now += 0.5
     d.ok("r1")
@@ -523,19 +524,19 @@
 
 
 def test_a_fetch_needs_twice_the_usual_latency() -> None:
-    """A third of fetches were given up midway by their clients, and so were not even stored."""
+    """Guards against fetches that their clients cut short, a third of all: they are not even stored."""
     d = Driver(settings(**ASIDE))
     d.list(*fleet("a", "o"))
     d.router.servers["o"].latency = 0.4
-    missed(d, "r1", key="k1")
+    miss(d, "r1", key="k1")
     d.request("r2", key="k2", time_left=0.7)
     assert d.end("r2", api.Status.MISS) is None and d.ended["r2"] == "refused"
     d.request("r3", key="k3", time_left=0.9)
     assert d.end("r3", api.Status.MISS) == "o"
 
 
-def test_a_write_needs_the_usual_latency_but_once() -> None:
-    """With an origin somewhat slow every booking was failed at once, though most would have been in time."""
+def test_a_write_needs_the_usual_latency_only_once() -> None:
+    """Guards against failing all writes at a somewhat slow origin: most would have been in time."""
     d = Driver(settings(**ASIDE))
     d.list(*fleet("a", "o"))
     d.request("r0", key="k0", write=True)
@@ -545,20 +546,20 @@
     assert d.request("r2", key="k2", write=True) is None and d.ended["r2"] == "refused"
 
 
-def test_worth_goes_first_at_the_origin() -> None:
-    """Bookings waited behind the misses of reads when the origin was slow."""
+def test_requests_of_higher_value_go_first_at_the_origin() -> None:
+    """Guards against writes that wait behind the misses of reads when the origin is slow."""
     d = Driver(settings(**ASIDE))
     d.list(*fleet("a", "o"))
     d.router.servers["o"].limit = 1.0
-    missed(d, "r1", key="k1")
-    missed(d, "r2", key="k2")
+    miss(d, "r1", key="k1")
+    miss(d, "r2", key="k2")
     d.request("w", request_class="keyed", key="k3", write=True)
     d.end("r1", api.Status.RESET)
     assert d.sends.get("w") == ["o"] and d.sends["r2"] == ["a"]
 
 
-def test_a_full_server_shows_what_it_bears() -> None:
-    """Limits fell a quarter a round while small servers turned two attempts in three away."""
+def test_a_busy_answer_cuts_the_limit_to_the_requests_in_flight() -> None:
+    """Guards against slow cuts: limits fell by a quarter a round while two attempts in three were busy."""
     d = Driver(settings())
     d.list(*fleet("a"))
     d.router.servers["a"].limit = 9.0
@@ -568,8 +569,8 @@
     assert d.router.servers["a"].limit == 5.0
 
 
-def test_a_restarted_server_is_learned_anew() -> None:
-    """What an earlier process bore, and its silence, say nothing of its successor."""
+def test_a_restarted_server_starts_with_fresh_measurements() -> None:
+    """The limit and the silence of an earlier process say nothing about its successor."""
     d = Driver(settings())
     d.list(*fleet("a"))
     d.router.servers["a"].limit = 1.0
@@ -580,8 +581,8 @@
     assert d.router.servers["a"].in_flight == 0
 
 
-def test_a_long_run_holds_bounded_memory() -> None:
-    """Many keys, servers and requests pass through; what is kept follows what is in hand."""
+def test_memory_is_bounded_in_a_long_run() -> None:
+    """What is kept follows the pending requests and listed servers, however many come and go."""
     d = Driver(settings(**ASIDE))
     for n in range(3000):
         if n % 20 == 0:
@@ -601,20 +602,20 @@
     assert len(r.ring.owners) == len(r.ring.positions) <= 5 * policy.VNODES
 
 
-def test_the_queue_for_the_origin_stays_bounded() -> None:
-    """Reads long ended lay behind a steady flow of writes of more worth."""
+def test_the_origin_queue_stays_bounded() -> None:
+    """Guards against finished reads piling up behind a steady flow of writes of higher value."""
     d = Driver(settings(**ASIDE))
     d.list(*fleet("a", "o"))
     d.router.servers["o"].limit = 1.0
     for n in range(2000):
-        missed(d, f"r{n}", key=f"k{n}")
+        miss(d, f"r{n}", key=f"k{n}")
         d.router.servers["o"].limit = 1.0
         d.wait(0.05)
     assert len(d.router.queue) <= 2 * len(d.router.pending) + 1 < 200
 
 
 def test_idle_connections_are_closed_when_they_cost_more_than_new_ones() -> None:
-    """Hundreds of routers kept one open at every server, and four attempts in five found the table full."""
+    """Guards against full tables: hundreds of routers kept one open each, and four dials in five failed."""
     d = Driver(settings(siblings=500, connection_cost=0.03, handshake_cost=0.03))
     d.list(*fleet("a", "b"))
     d.now += 10.0
@@ -629,8 +630,8 @@
     assert not [a for a in few.last_actions if isinstance(a, api.CloseIdle)]
 
 
-def test_servers_that_can_do_nothing_at_their_start_stop_no_router() -> None:
-    """With a stated share of nothing and all servers just started there is nothing to share out."""
+def test_a_cold_share_of_zero_breaks_no_router() -> None:
+    """Guards against a division by zero when all servers are cold and accept nothing."""
     d = Driver(settings(ramp=10.0, cold_share=0.0))
     d.list(*(entry(n, started_at=d.now) for n in "abc"))
     assert [d.request(f"r{n}", key="k") for n in range(3)] == [None] * 3
@@ -640,8 +641,8 @@
     assert sum(s is not None for s in sent) >= 6
 
 
-def test_a_zone_that_is_back_counts_as_cold_until_the_list_can_have_told() -> None:
-    """Routers whose list came late sent servers just started all that was theirs when warm."""
+def test_a_recovered_zone_counts_as_cold_until_the_list_can_tell() -> None:
+    """Guards against overloading restarted servers whose start the list has not told yet."""
     d = Driver(settings(ramp=23.0, cold_share=0.13, max_list_age=10.0))
     entries = [entry(f"s{i}", zone="abc"[i % 3]) for i in range(30)]
     d.list(*entries)
@@ -662,17 +663,17 @@
             d.ok(f"lost{n}")
     assert 3 <= failed < 600 * before / 3
     d.wait(5.0)
-    part("first")  # with a trial that is answered
+    part("first")  # the trial is answered
     d.wait(0.1)
     assert part("back") < 0.3 * before
     d.wait(5.1)
     assert part("later") == pytest.approx(
         before, abs=0.05
-    )  # the list told of no start: it was cut off, no more
+    )  # no restart was listed: the zone had only been unreachable
 
 
 def test_a_server_in_use_has_one_timer_for_its_idle_connections() -> None:
-    """Each answer set one, and each set itself again: sixty thousand after as many requests."""
+    """Guards against timers piling up: each answer set one that renewed itself, 60,000 in all."""
     d = Driver(settings(siblings=4, connection_cost=0.003, handshake_cost=0.03, idle_timeout=600.0))
     d.list(*fleet("a", "b"))
     for n in range(600):
@@ -686,7 +687,7 @@
     assert closed == {"a", "b"}
 
 
-def test_refused_connections_shorten_how_long_idle_ones_are_kept() -> None:
+def test_failed_dials_shorten_the_idle_time() -> None:
     d = Driver(settings())
     d.list(*fleet("a", "b"))
     d.request("r")
@@ -696,28 +697,28 @@
     assert policy.KEEP_SHARE / 2 < d.router.keep < policy.KEEP_SHARE
 
 
-def test_a_server_reported_crowded_is_passed_by_a_share_of_requests() -> None:
-    """One key drew a crowd that no router alone could see; the list's live weights show it to all."""
+def test_a_server_reported_overloaded_is_passed_by_a_share_of_requests() -> None:
+    """No router alone can see that a hot key overloads a server; the live weights show it to all."""
     d = Driver(settings(live_weights=True))
     names = "abcdefgh"
     d.list(*(entry(n, weight=2.0) for n in names))
     first = d.request("r", key="k", finish=True)
     d.list(*(entry(n, weight=0.5 if n == first else 1.0) for n in names))
-    d.router.gossip.tell_at = math.inf  # or so hot a key would be shared out
+    d.router.gossip.tell_at = math.inf  # no plan, or so hot a key would be spread
     sent = [d.request(f"r{n}", key="k", finish=True) for n in range(200)]
-    assert 70 < sent.count(first) < 140  # 3 held against a cap of 1.56: half stay
+    assert 70 < sent.count(first) < 140  # reported load 3 against a cap of 1.56: half stay
 
 
-def test_an_error_of_a_fetch_is_not_tried_elsewhere() -> None:
-    """With a failing origin each error sent the key to another server, which fetched it again."""
+def test_a_failed_fetch_is_not_retried_at_another_server() -> None:
+    """Guards a failing origin: each error sent the key to another server, which fetched it again."""
     d = Driver(settings())
     d.list(*fleet("a", "b"))
     d.request("r")
     assert d.end("r", api.Status.ERROR) is None and d.ended["r"] == "refused"
 
 
-def test_what_would_wait_too_long_is_refused_early() -> None:
-    """In an overload every server held thirty requests a core, and all that was served was late."""
+def test_requests_that_would_wait_too_long_are_refused_early() -> None:
+    """Guards against late answers to all: in an overload every server held thirty requests per core."""
     d = Driver(settings(live_weights=True, max_attempts=1))
     names = "abcdefgh"
     d.list(*(entry(n, weight=6.0) for n in names))
@@ -727,20 +728,20 @@
     assert "refused" not in d.ended.values()
     d.list(*(entry(n, weight=0.2) for n in names))
     sent = [d.request(f"b{n}", key=f"k{n}", finish=f"b{n}" in d.sends) for n in range(400)]
-    # 29 held at 0.1 s each against a quarter of the second wanted: one in eleven or so is let in
+    # 29 queued at 0.1 s each against a quarter of the 1 s aim: about one in eleven is accepted
     assert 10 < sum(s is not None for s in sent) < 80
 
 
-def test_own_late_answers_make_for_early_refusals_where_no_load_is_told() -> None:
-    """Clients gave up on two attempts in three and retried, and nothing told the router but its own waits."""
+def test_late_answers_cause_early_refusals_where_no_load_is_reported() -> None:
+    """Clients gave up two attempts in three and retried: only the router's own latencies showed the load."""
     d = Driver(settings(max_attempts=1))
     d.list(*(entry(f"s{n}") for n in range(30)))
     d.router.mean_wait = 4.0
     sent = [d.request(f"r{n}", key=f"k{n}") for n in range(200)]
-    assert 20 < sum(s is not None for s in sent) < 90  # a second of four: one in four is let in
+    assert 20 < sum(s is not None for s in sent) < 90  # an aim of 1 s of 4 s: one in four is accepted
 
 
-def test_a_list_of_draining_servers_only_holds_requests_and_answers_them_in_time() -> None:
+def test_with_draining_servers_only_requests_are_queued_and_answered_in_time() -> None:
     d = Driver(settings())
     d.list(entry("a", state=api.ServerState.DRAINING), entry("b", weight=0.0, state=api.ServerState.DRAINING))
     d.request("r")
@@ -749,38 +750,38 @@
     assert d.ended["r"] == "refused"
 
 
-def test_what_can_no_longer_be_fetched_in_time_is_refused_at_once() -> None:
-    """Requests waited for the origin until their aim though no fetch could have been back by then."""
+def test_requests_that_can_no_longer_be_fetched_in_time_are_refused_at_once() -> None:
+    """Guards against requests that wait until their aim though no fetch could return by then."""
     d = Driver(settings(**ASIDE))
     d.list(*fleet("a", "o"))
     d.router.servers["o"].limit = 1.0
     d.router.servers["o"].latency = 0.3
-    missed(d, "r1", key="k1")
-    missed(d, "r2", key="k2")
+    miss(d, "r1", key="k1")
+    miss(d, "r2", key="k2")
     d.wait(0.35)
     assert "r2" not in d.ended
     d.wait(0.1)
     assert d.ended["r2"] == "refused" and d.sends["r2"] == ["a"]
 
 
-def test_a_slower_origin_ends_at_once_what_it_leaves_no_time_for() -> None:
+def test_a_slower_origin_has_late_queued_requests_refused_at_once() -> None:
     d = Driver(settings(**ASIDE))
     d.list(*fleet("a", "o"))
     d.router.servers["o"].limit = 2.0
     for n in "123":
-        missed(d, f"r{n}", key=f"k{n}")
+        miss(d, f"r{n}", key=f"k{n}")
     d.router.servers["o"].limit = 1.0
     d.end("r1", api.Status.OK, latency=3.0)  # the usual latency is 0.6 now, and twice that is past the aim
     assert d.ended["r3"] == "refused"
 
 
-def test_a_wait_goes_on_when_the_origin_gets_faster() -> None:
+def test_a_queued_request_waits_on_when_the_origin_gets_faster() -> None:
     d = Driver(settings(**ASIDE))
     d.list(*fleet("a", "o"))
     d.router.servers["o"].limit = 1.0
     d.router.servers["o"].latency = 0.3
-    missed(d, "r1", key="k1")
-    missed(d, "r2", key="k2")
+    miss(d, "r1", key="k1")
+    miss(d, "r2", key="k2")
     d.router.servers["o"].latency = 0.1
     d.wait(0.6)
     assert "r2" not in d.ended
@@ -792,8 +793,8 @@
     ("latency", "longest", "least", "most"),
     [(1.1, 3.0, 1.1, 2.2), (1.1, 0.5, 0.25, 0.5), (1.1, 0.0, 0.0, 0.0)],
 )
-def test_a_refusal_tells_when_to_come_back(latency: float, longest: float, least: float, most: float) -> None:
-    """Clients that ask again at once meet what refused them, and all at one time meet each other."""
+def test_a_refusal_advises_when_to_retry(latency: float, longest: float, least: float, most: float) -> None:
+    """Guards against retries at once, which meet the same obstacle, and in step, which meet each other."""
     d = Driver(settings(**ASIDE, max_retry_after=longest))
     d.list(*fleet("a", "o"))
     d.request("w0", key="k0", write=True)
@@ -806,74 +807,74 @@
     assert len(set(told)) == (20 if longest else 1)
 
 
-def served(d: Driver, count: int, latency: float = 0.02) -> None:
-    """A service that is well, and its usual latency known."""
+def warm_up(d: Driver, count: int, latency: float = 0.02) -> None:
+    """Let a number of requests succeed, so that the usual latency is known."""
     for n in range(count):
         d.request(f"well-{n}", key="k")
         d.end(f"well-{n}", api.Status.OK, latency=latency)
 
 
-def overtake(d: Driver, name: str) -> None:
-    """Something sent later to the server that holds this request is answered."""
+def answer_later_send(d: Driver, name: str) -> None:
+    """Let a later send to the server of this request be answered."""
     d.now += 0.01
     server = d.router.servers[d.sends[name][-1]]
     server.last_answered = d.now
 
 
-def test_an_answer_that_got_lost_does_not_cost_the_request() -> None:
-    """Each was waited for until the deadline, though others of its server came within milliseconds."""
+def test_a_lost_answer_does_not_fail_the_request() -> None:
+    """Guards against waiting until the deadline while other answers of the server take milliseconds."""
     d = Driver(settings())
     d.list(*fleet("a", "b"))
-    served(d, 30)
+    warm_up(d, 30)
     first = d.request("r1", key="k")
-    overtake(d, "r1")
+    answer_later_send(d, "r1")
     d.wait(0.1)
-    assert d.sends["r1"] == [first]  # still within what is usual for its class
+    assert d.sends["r1"] == [first]  # not late yet for its class
     d.wait(0.4)
     assert len(d.sends["r1"]) == 2 and d.sends["r1"][1] != first
     d.end("r1", api.Status.OK, 1)
     assert d.ended["r1"] == "served" and api.Cancel("r1", 0) in d.last_actions
 
 
-def test_a_miss_of_the_copy_goes_on_to_the_origin_though_the_first_is_still_out() -> None:
+def test_a_miss_of_the_second_copy_goes_to_the_origin_with_the_first_in_flight() -> None:
     d = Driver(settings(**ASIDE))
     d.list(*fleet("a", "b"), entry("o", kind="origin"))
-    served(d, 30)
+    warm_up(d, 30)
     d.request("r1", key="k")
-    overtake(d, "r1")
+    answer_later_send(d, "r1")
     d.wait(0.4)
     assert d.end("r1", api.Status.MISS, 1) == "o"
-    assert d.end("r1", api.Status.MISS, 0) is None  # one fetch is enough
+    assert d.end("r1", api.Status.MISS, 0) is None  # one fetch is in flight already
     d.end("r1", api.Status.OK, 2)
     assert d.ended["r1"] == "served"
 
 
 @pytest.mark.parametrize("fetch", [api.Status.TIMEOUT, None])
-def test_with_all_copies_lost_there_is_still_an_answer(fetch: api.Status | None) -> None:
+def test_a_request_with_all_copies_lost_is_still_answered(fetch: api.Status | None) -> None:
     d = Driver(settings(**ASIDE))
     d.list(*fleet("a", "b"), entry("o", kind="origin"))
-    served(d, 30)
+    warm_up(d, 30)
     d.request("r1", key="k")
-    overtake(d, "r1")
+    answer_later_send(d, "r1")
     d.wait(0.4)
     if fetch is None:
-        d.router.servers["o"].in_flight = 100  # no place there
+        d.router.servers["o"].in_flight = 100  # no free slot there
     d.end("r1", api.Status.MISS, 1)
     d.wait(3.0)
     assert "r1" in d.ended
 
 
-def test_what_may_not_run_twice_gets_no_copy() -> None:
+def test_an_unsafe_request_gets_no_second_copy() -> None:
     d = Driver(settings())
     d.list(*fleet("a", "b"))
-    served(d, 30)
+    warm_up(d, 30)
     d.request("r1", key="k", request_class="once")
     d.wait(1.9)
     assert len(d.sends["r1"]) == 1
 
 
-def test_a_server_that_is_slow_with_everything_gets_no_copies_of_it_elsewhere() -> None:
-    """Each of many routers knew too little to tell a crowd from a lost answer, and their copies fed it."""
+def test_requests_at_a_slow_server_get_no_second_copies() -> None:
+    """Guards against copies that feed an overload: one router alone can't tell it from a lost answer."""
     d = Driver(settings())
     d.list(*fleet("a", "b"))
     first = d.request("r1", key="k")
@@ -884,28 +885,28 @@
     late.list(*fleet("a", "b"))
     late.request("r1", key="k")
     late.wait(0.3)
-    overtake(late, "r1")  # only now it shows that the first was lost
+    answer_later_send(late, "r1")  # shows only now that the first was lost
     late.wait(0.3)
     assert len(late.sends["r1"]) == 2
 
 
-def test_copies_come_out_of_the_budget_of_retries() -> None:
-    """Where most answers get lost, copies of everything would double the load."""
+def test_second_copies_spend_the_retry_budget() -> None:
+    """Guards against doubling the load where most answers get lost."""
     d = Driver(settings())
     d.list(*fleet(*"abcdefgh"))
     for name in "abcdefgh":
         d.router.servers[name].limit = 100.0
-    served(d, 30)
+    warm_up(d, 30)
     for n in range(60):
         d.request(f"r{n}", key=f"k{n}")
-        overtake(d, f"r{n}")
+        answer_later_send(d, f"r{n}")
     d.wait(0.9)
     copies = sum(len(d.sends[f"r{n}"]) - 1 for n in range(60))
     assert 0 < copies <= policy.MAX_RETRY_BUDGET
 
 
-def test_an_outcome_of_the_origin_does_not_look_it_up_for_each_that_waits() -> None:
-    """Work grew with the queue times the list, just when the core had none to spare."""
+def test_an_outcome_does_not_look_up_the_origin_for_each_queued_request() -> None:
+    """Guards against work that grows with queue length times list length, as in an overload."""
     looked = 0
 
     class Counted(Router):
@@ -925,24 +926,24 @@
 
 
 @pytest.mark.parametrize("how", [api.Status.TIMEOUT, api.Status.CANCELLED])
-def test_a_lost_answer_is_no_word_on_its_server(how: api.Status) -> None:
-    """One at the origin raised its mean latency by its whole deadline, and all that waited was refused."""
+def test_a_lost_answer_does_not_count_against_its_server(how: api.Status) -> None:
+    """One lost at the origin raised its mean latency by a whole deadline, and the whole queue was refused."""
     d = Driver(settings(**ASIDE))
     d.list(*fleet("a", "b"), entry("o", kind="origin"))
     for n in range(20):
-        missed(d, f"r{n}", key=f"k{n}")
+        miss(d, f"r{n}", key=f"k{n}")
         d.end(f"r{n}", api.Status.OK, latency=0.02)
     origin = d.router.servers["o"]
     before = (origin.latency, origin.limit)
-    missed(d, "lost", key="lost")
+    miss(d, "lost", key="lost")
     d.now += 0.01
-    missed(d, "later", key="later")
+    miss(d, "later", key="later")
     d.end("later", api.Status.OK, latency=0.02)
     d.end("lost", how, latency=2.0)
     assert origin.latency <= before[0] + 0.01 and origin.limit >= before[1]
 
 
-def test_time_outs_of_a_server_that_answers_nothing_still_count() -> None:
+def test_time_outs_of_a_silent_server_count_against_it() -> None:
     d = Driver(settings())
     d.list(*fleet("a"))
     for n in range(4):
@@ -953,12 +954,12 @@
 
 
 @pytest.mark.parametrize("how", [api.Status.ERROR, api.Status.RESET, api.Status.CONNECT_FAILED])
-def test_a_server_that_fails_everything_is_passed_but_for_trials(how: api.Status) -> None:
-    """Its failures came at once, so it looked quick and idle, and each of its keys paid for an attempt."""
+def test_a_failing_server_gets_only_trials(how: api.Status) -> None:
+    """Guards against attempts wasted on a server that fails at once and so looks fast and idle."""
     d = Driver(settings(**ASIDE))
     d.list(*fleet("a", "b"))
-    d.router.gossip.tell_at = math.inf  # or so hot a key would be shared out
-    first, second = order_of(d, "k")
+    d.router.gossip.tell_at = math.inf  # no plan, or so hot a key would be spread
+    first, second = walk_order(d, "k")
     for n in range(policy.MAX_FAILURES):
         assert d.request(f"r{n}", key="k") == first
         d.end(f"r{n}", how)
@@ -973,57 +974,57 @@
     assert [d.request(f"well{n}", key="k", finish=True) for n in range(5)] == [first] * 5
 
 
-def test_a_full_server_is_not_faulty() -> None:
+def test_a_busy_server_does_not_count_as_failing() -> None:
     d = Driver(settings())
     d.list(*fleet("a", "b"))
-    d.router.gossip.tell_at = math.inf  # or so hot a key would be shared out
-    first, _ = order_of(d, "k")
+    d.router.gossip.tell_at = math.inf  # no plan, or so hot a key would be spread
+    first, _ = walk_order(d, "k")
     for n in range(2 * policy.MAX_FAILURES):
         assert d.request(f"r{n}", key="k") == first
         d.end(f"r{n}", api.Status.BUSY)
         d.ok(f"r{n}")
 
 
-def zoned(count: int = 8) -> tuple[api.ServerEntry, ...]:
+def two_zones(count: int = 8) -> tuple[api.ServerEntry, ...]:
     return tuple(entry(f"{z}{n}", zone=z) for z in ("here", "there") for n in range(count))
 
 
-def zone_of(server: str | None) -> str:
+def zone_name(server: str | None) -> str:
     return str(server).rstrip("0123456789")
 
 
-def requests_of(d: Driver, how: str, count: int) -> list[str]:
-    """Zones that first attempts go to while one zone gives no sign of life."""
+def first_zones(d: Driver, how: str, count: int) -> list[str]:
+    """Return the zones of first attempts while one zone does not answer."""
     zones = []
     for n in range(count):
         d.now += 0.05
         first = d.request(f"{how}{n}", key=f"k{how}{n}")
         while f"{how}{n}" in d.open and (name := d.sends[f"{how}{n}"][-1]):
-            if zone_of(name) == "there":
+            if zone_name(name) == "there":
                 d.end(f"{how}{n}", api.Status.CONNECT_FAILED)
             else:
                 d.ok(f"{how}{n}")
-        zones.append(zone_of(first))
+        zones.append(zone_name(first))
     return zones
 
 
-def test_a_zone_that_gives_no_sign_of_life_is_passed_as_a_whole() -> None:
-    """Each router lost three requests to every server of it, and then one a second to each."""
+def test_a_zone_without_any_answer_is_passed_as_a_whole() -> None:
+    """Guards against detection per server: each router lost three requests to each, then one a second."""
     d = Driver(settings())
-    d.list(*zoned(), entry("there8", zone="there"))
-    lost = requests_of(d, "a", 200).count("there")
-    assert 3 <= lost <= 3 + 200 * 0.05 + 1  # three, and then one trial a second
+    d.list(*two_zones(), entry("there8", zone="there"))
+    lost = first_zones(d, "a", 200).count("there")
+    assert 3 <= lost <= 3 + 200 * 0.05 + 1  # three failures, then one trial a second
     d.now += 1.0
-    for n in range(40):  # it is back: one answer is enough
+    for n in range(40):  # recovered: one answer is enough
         d.now += 0.05
         d.request(f"b{n}", key=f"kb{n}", finish=True)
-    after = [zone_of(d.request(f"c{n}", key=f"kc{n}", finish=True)) for n in range(200)]
+    after = [zone_name(d.request(f"c{n}", key=f"kc{n}", finish=True)) for n in range(200)]
     assert after.count("there") > 60
 
 
-def test_one_dead_server_takes_no_zone_with_it() -> None:
+def test_one_dead_server_does_not_take_its_zone_down() -> None:
     d = Driver(settings())
-    d.list(*zoned())
+    d.list(*two_zones())
     before = [d.request(f"b{n}", key=f"k{n}", finish=True) for n in range(400)]
     zones = 0
     for n in range(200):
@@ -1033,24 +1034,24 @@
             d.end(f"d{n}", api.Status.CONNECT_FAILED)
         if f"d{n}" in d.open:
             d.ok(f"d{n}")
-        zones += zone_of(name) == "there"
-    assert zones > 0.8 * sum(zone_of(s) == "there" for s in before[:200])
+        zones += zone_name(name) == "there"
+    assert zones > 0.8 * sum(zone_name(s) == "there" for s in before[:200])
 
 
-def test_what_hangs_in_a_silent_zone_is_sent_again_elsewhere() -> None:
-    """A request on a kept connection into a zone cut off had no answer, and no copy, until its deadline."""
+def test_requests_stuck_in_a_silent_zone_get_a_second_copy_elsewhere() -> None:
+    """On a kept connection to an unreachable zone a request got no answer and no copy until its deadline."""
     d = Driver(settings())
-    d.list(*zoned())
-    keys = [f"k{n}" for n in range(400) if zone_of(d.request(f"w{n}", key=f"k{n}", finish=True)) == "there"]
+    d.list(*two_zones())
+    keys = [f"k{n}" for n in range(400) if zone_name(d.request(f"w{n}", key=f"k{n}", finish=True)) == "there"]
     d.now += 1.0
     for n, key in enumerate(keys[:6]):
         d.request(f"h{n}", key=key)
     d.wait(0.9)
-    again = [n for n in range(6) if zone_of(d.sends[f"h{n}"][-1]) == "here"]
+    again = [n for n in range(6) if zone_name(d.sends[f"h{n}"][-1]) == "here"]
     assert len(again) >= 3
 
 
-def test_where_all_servers_are_in_one_zone_none_is_passed_for_it() -> None:
+def test_the_only_zone_is_never_passed() -> None:
     d = Driver(settings())
     d.list(*(entry(f"there{n}", zone="there") for n in range(8)))
     for n in range(3):
@@ -1060,8 +1061,8 @@
     assert d.request("last", key="another") is not None
 
 
-def test_requests_of_no_class_teach_nothing() -> None:
-    """They are never sent: counted, they would push aside the keys that are, and be told to all peers."""
+def test_requests_of_unknown_class_are_not_counted_as_demand() -> None:
+    """They are never sent: counted, they would displace keys that are, and be gossiped to all peers."""
     d = Driver(settings(may_gossip=True, siblings=4))
     d.list(*fleet("a", "b"))
     for i in range(1000):
