--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -116,7 +116,7 @@
 
 
 def test_a_watch_that_ends_without_changes_rebuilds_no_ring(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against rebuilding the ring for empty answers: 11 ms each with 930 servers, every three seconds."""
+    """Guards against a ring rebuilt for an empty answer: 11 ms with 930 servers, every three seconds."""
     d = Driver(CONF)
     d.list(*(entry(f"s{i}") for i in range(8)))
     before = d.request("r1", key="k", finish=True)
--- a/tests/test_wirehost.py
+++ b/tests/test_wirehost.py
@@ -1,4 +1,4 @@
-"""The wire: every event and action both ways, and bad input."""
+"""The simulator's host: every event and action in JSON, settings, and malformed input."""
 
 from __future__ import annotations
 
@@ -37,22 +37,22 @@
 }
 
 
-def row(server: str, kind: str = "std", **fields: Any) -> dict[str, Any]:
+def list_line(server: str, kind: str = "std", **fields: Any) -> dict[str, Any]:
     base = {"generationHw": kind, "since": None, "readiness": "active", "site": "z", "stripe": 0}
     return {**base, "server": server, "weight": 1.0, **fields}
 
 
-def play(host: SimulatorHost, t: float, *news: dict[str, Any]) -> list[dict[str, Any]]:
-    line = json.dumps({"t": t, "news": [{"routerId": 3, **e} for e in news]}).encode()
+def send_events(host: SimulatorHost, t: float, *events: dict[str, Any]) -> list[dict[str, Any]]:
+    line = json.dumps({"t": t, "news": [{"routerId": 3, **e} for e in events]}).encode()
     commands = json.loads(host.handle_line(line))["cmds"]
     assert all(c.pop("routerId") == 3 for c in commands)
     return list(commands)
 
 
-def born(**changes: Any) -> SimulatorHost:
+def started_host(**changes: Any) -> SimulatorHost:
     host = SimulatorHost()
-    lines = [row("a"), row("o", "store")]
-    commands = play(
+    lines = [list_line("a"), list_line("o", "store")]
+    commands = send_events(
         host,
         1.0,
         {"op": "Born", "initSeed": 5, "conf": {**CONF, **changes}},
@@ -61,16 +61,16 @@
     if not changes:
         ((op, ctx, pause),) = ((c["op"], c["ctx"], c["fromNow"]) for c in commands)
         assert (op, ctx) == ("Timer", "list") and 0 <= pause < 3 * CALL
-        assert play(host, 1.0, {"op": "Wake", "ctx": "list"}) == [{"op": "Listen", "enable": True}]
+        assert send_events(host, 1.0, {"op": "Wake", "ctx": "list"}) == [{"op": "Listen", "enable": True}]
     return host
 
 
-def ask(name: str, **fields: Any) -> dict[str, Any]:
+def request(name: str, **fields: Any) -> dict[str, Any]:
     base = {"op": "Request", "ticket": name, "priority": "read", "timeBudget": 1.0, "partitionKey": "k"}
     return {**base, "userGroup": None, "effort": None, "retry": False, "update": False, **fields}
 
 
-def done(name: str, number: int, outcome: str, final: bool = False) -> dict[str, Any]:
+def outcome_of(name: str, number: int, outcome: str, final: bool = False) -> dict[str, Any]:
     base = {"op": "Done", "ticket": name, "sendNo": number, "outcome": outcome, "final": final, "lag": 0.01}
     return {**base, "note": None, "server": "a", "telemetry": None}
 
@@ -94,7 +94,7 @@
 
 def test_settings_defaults() -> None:
     conf = read_settings({"classes": [{"name": "x"}]})
-    # what is not told is taken at its most careful: no repeats, no second copies, one attempt
+    # absent settings take the most careful value: no repeats, no second copies, one attempt
     assert conf.classes["x"].retry_safety is api.RetrySafety.UNSAFE
     assert (conf.second_copies, conf.may_cancel, conf.max_attempts) == (False, False, 1)
 
@@ -116,71 +116,71 @@
 def test_unusable_settings_name_the_field(
     change: dict[str, Any], field: str, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    (fault,) = play(SimulatorHost(), 1.0, {"op": "Born", "initSeed": 1, "conf": {**CONF, **change}})
+    (fault,) = send_events(SimulatorHost(), 1.0, {"op": "Born", "initSeed": 1, "conf": {**CONF, **change}})
     assert fault["op"] == "InternalError" and field in fault["line"]
     assert field in capsys.readouterr().err
 
 
 def test_a_read_goes_miss_then_origin_then_client() -> None:
-    host = born()
-    assert sends(play(host, 1.1, ask("1"))) == ["a"]
-    assert sends(play(host, 1.2, done("1", 0, "empty"))) == ["o"]
-    assert play(host, 1.3, done("1", 1, "delivered", True)) == []
+    host = started_host()
+    assert sends(send_events(host, 1.1, request("1"))) == ["a"]
+    assert sends(send_events(host, 1.2, outcome_of("1", 0, "empty"))) == ["o"]
+    assert send_events(host, 1.3, outcome_of("1", 1, "delivered", True)) == []
 
 
 @pytest.mark.parametrize("outcome", sorted(wirehost.STATUSES))
-def test_every_outcome_is_taken(outcome: str) -> None:
-    host = born()
-    play(host, 1.1, ask("1"))
-    play(host, 1.2, done("1", 0, outcome, outcome == "delivered"))
+def test_every_outcome_is_accepted(outcome: str) -> None:
+    host = started_host()
+    send_events(host, 1.1, request("1"))
+    send_events(host, 1.2, outcome_of("1", 0, outcome, outcome == "delivered"))
     router = host.routers[3]
     assert sum(s.in_flight for s in router.servers.values()) == len(router.attempts) <= 1
 
 
-def test_every_list_kind_and_state_is_taken() -> None:
-    host = born()
-    lines = [row("b"), row("a", readiness="leaving"), row("c", readiness="left")]
-    play(host, 1.1, {"op": "Membership", "scope": "INCREMENTAL", "generation": 2, "lines": lines})
-    assert sends(play(host, 1.2, ask("1"))) == ["b"]
-    timer, _ = play(host, 1.3, {"op": "Membership", "scope": "FAILED", "generation": 2, "lines": None})
+def test_every_list_kind_and_state_is_accepted() -> None:
+    host = started_host()
+    lines = [list_line("b"), list_line("a", readiness="leaving"), list_line("c", readiness="left")]
+    send_events(host, 1.1, {"op": "Membership", "scope": "INCREMENTAL", "generation": 2, "lines": lines})
+    assert sends(send_events(host, 1.2, request("1"))) == ["b"]
+    timer, _ = send_events(host, 1.3, {"op": "Membership", "scope": "FAILED", "generation": 2, "lines": None})
     assert timer["op"] == "Timer" and timer["fromNow"] > 0
-    again = play(host, 2.0, {"op": "Wake", "ctx": timer["ctx"]})
+    again = send_events(host, 2.0, {"op": "Wake", "ctx": timer["ctx"]})
     assert again == [{"op": "Listen", "enable": True}]
-    play(host, 2.1, {"op": "Membership", "scope": "FULL", "generation": 3, "lines": [row("z")]})
-    assert sends(play(host, 2.2, ask("2"))) == ["z"]
+    send_events(host, 2.1, {"op": "Membership", "scope": "FULL", "generation": 3, "lines": [list_line("z")]})
+    assert sends(send_events(host, 2.2, request("2"))) == ["z"]
 
 
-def test_client_gone_cancels() -> None:
-    host = born()
-    play(host, 1.1, ask("1"))
-    gone = play(host, 1.2, {"op": "Aborted", "ticket": "1"})
+def test_a_disconnected_client_cancels_its_attempts() -> None:
+    host = started_host()
+    send_events(host, 1.1, request("1"))
+    gone = send_events(host, 1.2, {"op": "Aborted", "ticket": "1"})
     assert gone == [{"op": "Cancel", "ticket": "1", "sendNo": 0}]
-    assert play(host, 1.3, done("1", 0, "revoked", True)) == []
+    assert send_events(host, 1.3, outcome_of("1", 0, "revoked", True)) == []
 
 
-def test_final_answers_on_the_wire() -> None:
-    host = born(familyInfo={"mode": "through"}, limits={"mostTries": 1})
-    play(host, 1.1, ask("1"), ask("2", priority="pay"))
-    assert play(host, 1.2, done("1", 0, "dropped")) == [{"op": "Reject", "ticket": "1"}]
-    assert play(host, 1.2, done("2", 0, "dropped")) == [{"op": "GiveUp", "ticket": "2"}]
+def test_final_answers_as_commands() -> None:
+    host = started_host(familyInfo={"mode": "through"}, limits={"mostTries": 1})
+    send_events(host, 1.1, request("1"), request("2", priority="pay"))
+    assert send_events(host, 1.2, outcome_of("1", 0, "dropped")) == [{"op": "Reject", "ticket": "1"}]
+    assert send_events(host, 1.2, outcome_of("2", 0, "dropped")) == [{"op": "GiveUp", "ticket": "2"}]
 
 
-def test_begun_and_unused_events_are_passed_over() -> None:
-    host = born()
-    play(host, 1.1, ask("1"))
+def test_started_responses_and_ignored_events_give_no_commands() -> None:
+    host = started_host()
+    send_events(host, 1.1, request("1"))
     begun = {"op": "Begun", "ticket": "1", "sendNo": 0, "lag": 0.1, "server": "a"}
     pong = {"op": "Pong", "server": "a", "outcome": "delivered", "lag": 0.1, "telemetry": None}
-    assert play(host, 1.2, begun, pong, {"op": "Heard", "srcPeer": 1, "content": "00"}) == []
+    assert send_events(host, 1.2, begun, pong, {"op": "Heard", "srcPeer": 1, "content": "00"}) == []
 
 
-def test_kill_leaves_nothing_behind() -> None:
-    host = born()
-    play(host, 1.1, ask("1"))
-    assert play(host, 1.2, {"op": "Kill"}) == [] and not host.routers
-    assert play(host, 1.3, done("1", 0, "delivered", True)) == []
+def test_a_killed_router_leaves_no_state() -> None:
+    host = started_host()
+    send_events(host, 1.1, request("1"))
+    assert send_events(host, 1.2, {"op": "Kill"}) == [] and not host.routers
+    assert send_events(host, 1.3, outcome_of("1", 0, "delivered", True)) == []
 
 
-def test_actions_in_wire_form() -> None:
+def test_actions_as_commands() -> None:
     send = wirehost.WRITERS[api.Send](api.Send("1", "a", 0.5))
     assert send == {"op": "Send", "ticket": "1", "server": "a", "timeout": 0.5}
     assert wirehost.WRITERS[api.CloseIdle](api.CloseIdle("a")) == {"op": "LetGo", "server": "a"}
@@ -203,7 +203,7 @@
         b'{"t":1,"news":[7]}',
     ],
 )
-def test_malformed_lines_are_told_plainly(line: bytes) -> None:
+def test_malformed_lines_raise_wire_errors(line: bytes) -> None:
     with pytest.raises(WireError):
         SimulatorHost().handle_line(line)
 
@@ -223,13 +223,18 @@
 
 
 def test_same_actions_under_any_hash_seed() -> None:
-    lines = [row(f"s{i}") for i in range(6)] + [row("o", "store")]
+    lines = [list_line(f"s{i}") for i in range(6)] + [list_line("o", "store")]
     news = [{"op": "Born", "initSeed": 5, "conf": CONF}]
     news += [{"op": "Membership", "scope": "SAVED", "generation": 1, "lines": lines}]
-    news += [ask(f"{i:x}", partitionKey=f"k{i % 7}") for i in range(60)]
+    news += [request(f"{i:x}", partitionKey=f"k{i % 7}") for i in range(60)]
     news += [
-        {"op": "Membership", "scope": "INCREMENTAL", "generation": 2, "lines": [row("s1", readiness="left")]}
+        {
+            "op": "Membership",
+            "scope": "INCREMENTAL",
+            "generation": 2,
+            "lines": [list_line("s1", readiness="left")],
+        }
     ]
-    stdin = json.dumps({"t": 1.0, "news": [{"routerId": 0, **e} for e in news]}).encode() + b"\n"
+    stdin = json.dumps({"t": 1.0, "news": [{"routerId": 0, **e} for e in events]}).encode() + b"\n"
     first, second = run(stdin, "1"), run(stdin, "2")
     assert first.returncode == 0 and first.stdout == second.stdout
