--- a/tests/test_wirehost.py
+++ b/tests/test_wirehost.py
@@ -235,6 +235,6 @@
             "lines": [list_line("s1", readiness="left")],
         }
     ]
-    stdin = json.dumps({"t": 1.0, "news": [{"routerId": 0, **e} for e in events]}).encode() + b"\n"
+    stdin = json.dumps({"t": 1.0, "news": [{"routerId": 0, **e} for e in news]}).encode() + b"\n"
     first, second = run(stdin, "1"), run(stdin, "2")
     assert first.returncode == 0 and first.stdout == second.stdout
