--- a/brackenwalk/policy.py
+++ b/brackenwalk/policy.py
@@ -62,7 +62,7 @@
         self.started_at = now
         self.stop_at = math.inf  # deadline of all requests during shutdown
         self._build_ring()
-        self.mean_wait = 0.0  # smoothed latency per request held by a unit of weight, this one included
+        self.mean_wait = 0.0  # smoothed latency per request queued per unit of weight, itself included
 
     def handle(self, now: float, event: api.Event) -> list[api.Action]:
         """Take one event; returns the actions to carry out, in order."""
--- a/brackenwalk/shares.py
+++ b/brackenwalk/shares.py
@@ -68,7 +68,7 @@
     def started_at(self, server: Server) -> float:
         """When a server started, as far as is known; 0 is long ago.
 
-        After an outage of its zone it may have restarted, which the server list tells later.
+        After an outage of its zone it may have restarted, which the server list only shows later.
         """
         zone = self.zones.get(server.entry.zone)
         out = zone is not None and server.entry.started_at < zone.outage_start
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -642,7 +642,7 @@
 
 
 def test_a_recovered_zone_counts_as_cold_until_the_list_can_tell() -> None:
-    """Guards against overloading restarted servers whose start the list has not told yet."""
+    """Guards against overloading restarted servers whose start is not listed yet."""
     d = Driver(settings(ramp=23.0, cold_share=0.13, max_list_age=10.0))
     entries = [entry(f"s{i}", zone="abc"[i % 3]) for i in range(30)]
     d.list(*entries)
@@ -799,12 +799,12 @@
     d.list(*fleet("a", "o"))
     d.request("w0", key="k0", write=True)
     d.router.servers["o"].latency = latency
-    told = []
+    advised = []
     for n in range(20):
         d.request(f"w{n + 1}", key="k1", write=True)
-        told += [a.retry_after for a in d.last_actions if isinstance(a, api.Refuse)]
-    assert len(told) == 20 and all(least <= t <= most for t in told)
-    assert len(set(told)) == (20 if longest else 1)
+        advised += [a.retry_after for a in d.last_actions if isinstance(a, api.Refuse)]
+    assert len(advised) == 20 and all(least <= t <= most for t in advised)
+    assert len(set(advised)) == (20 if longest else 1)
 
 
 def warm_up(d: Driver, count: int, latency: float = 0.02) -> None:
