--- a/brackenwalk/state.py
+++ b/brackenwalk/state.py
@@ -1,4 +1,4 @@
-"""What a router holds of servers, attempts and requests."""
+"""What a router records about servers, zones, attempts and pending requests."""
 
 from __future__ import annotations
 
@@ -7,69 +7,70 @@
 
 from brackenwalk import interface as api
 
-LIMIT_START = 4.0  # first guess of what one router may have out at a server; moves within seconds
+INITIAL_LIMIT = 4.0  # attempts in flight at a server before its limit has adapted, which takes seconds
 
 
 @dataclass(slots=True, eq=False)
 class Server:
-    """A listed server as this router sees it."""
+    """A listed cache server or origin, with what this router has measured of it."""
 
     entry: api.ServerEntry
-    cache: bool = True  # or the origin
-    name: int = 0  # to peers: 32 bits of its name's hash
-    load: int = 0  # own attempts in flight
-    size: float = 1.0  # its weight, steady
-    reported: float = 0.0  # requests held for each unit of size, by all routers, seconds ago
-    limit: float = LIMIT_START  # of own attempts in flight
-    cut_at: float = -math.inf
-    latency: float = 0.0  # smoothed
-    slowness: float = 0.0  # smoothed share of the target that answers take, as one says little
-    quiet_since: float = math.inf  # first send since its last answer
-    heard: float = -math.inf  # latest send that was answered
-    used_at: float = 0.0  # last end of an attempt
-    look_at: float = math.inf  # when a timer will look at its idle connections
-    wrong: int = 0  # failures since its last good answer
-    eased: float = 1.0  # share of its points that it kept when some router last found it ailing
-    eased_at: float = -math.inf
+    is_cache: bool = True  # False for an origin
+    name_hash: int = 0  # 32 bits of the hash of its name, by which gossip messages name it
+    in_flight: int = 0  # this router's open attempts
+    weight: float = 1.0  # on the ring; unlike the listed weight it does not fall with load
+    reported_load: float = 0.0  # requests of all routers per unit of weight, as listed some seconds ago
+    limit: float = INITIAL_LIMIT  # concurrency limit on `in_flight`
+    limit_cut_at: float = -math.inf  # time of the latest cut of the limit
+    latency: float = 0.0  # smoothed, in seconds
+    latency_ratio: float = 0.0  # smoothed latency over target latency; a single answer says little
+    unanswered_since: float = math.inf  # first send after its latest answer
+    last_answered: float = -math.inf  # time of the latest send that got an answer
+    used_at: float = 0.0  # latest end of an attempt
+    check_at: float = math.inf  # when the pending timer will check its idle connections
+    failures: int = 0
+    health: float = 1.0  # share of its virtual nodes left to it when a router last found it unhealthy
+    health_cut_at: float = -math.inf  # time of that cut
 
 
 @dataclass(slots=True, eq=False)
 class Zone:
-    """What is known of a zone's cache servers as a whole."""
+    """What is known of all cache servers of a zone together."""
 
-    heard_at: float = -math.inf  # latest answer of any of them
-    unheard: int = 0  # attempts since then that came to nothing
-    tried_at: float = -math.inf  # latest send to any of them
-    lost_at: float = -math.inf  # latest answer before it said nothing for a while
-    back_at: float = -math.inf  # first answer after that
+    last_answer_at: float = -math.inf  # latest answer from any of them
+    unanswered: int = 0  # attempts without an answer since then
+    last_send_at: float = -math.inf  # latest send to any of them
+    outage_start: float = -math.inf  # last answer before the latest outage
+    outage_end: float = -math.inf  # first answer after it
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One send of a request."""
+    """One send of a request to one server."""
 
     server: Server
-    target: float  # slower than this means too many are out
+    target_latency: float  # a slower answer means that the server has too many requests in flight
     sent_at: float
-    open: bool = True
-    may_have_run: bool = True  # until an outcome proves the contrary
-    late_at: float = math.inf  # from then on a copy may go out
-    unheard: bool = False  # counted against its server's zone
+    open: bool = True  # no outcome yet
+    may_have_run: bool = True  # until an outcome proves that it did not
+    copy_at: float = math.inf  # from then on a second copy may be sent
+    counted: bool = False  # already counted in its zone's `unanswered`
 
 
 @dataclass(slots=True, eq=False)
-class Held:
-    """A request that is owed its final answer."""
+class PendingRequest:
+    """A request that has not had its final answer yet."""
 
     request: api.Request
     request_class: api.RequestClass
-    until: float  # no use in waiting for longer
+    deadline: float  # an answer after it is of no use
     to_origin: bool
-    position: int  # of its key on the ring
+    ring_position: int  # of its key
     attempts: list[Attempt] = field(default_factory=list)
-    waiting: bool = False  # for a place at the origin, or for any server at all
-    streaming: bool = False
-    spared: bool = False  # a cold server that was met does not bear it
+    waiting: bool = False  # queued, for a free slot at the origin or for any usable server
+    response_started: bool = False
+    skipped_cold: bool = False  # its walk last passed a cold server that does not accept it
 
     def open_attempts(self) -> int:
+        """The number of attempts without an outcome."""
         return sum(a.open for a in self.attempts)
--- a/tests/test_lab_hollow.py
+++ b/tests/test_lab_hollow.py
@@ -24,7 +24,7 @@
 from tests.driver import entry, settings
 from tests.loopback import http, run
 
-CONF = settings(peers=True)
+CONF = settings(may_gossip=True)
 SERVERS = [entry(f"s{i}", zone="ab"[i % 2]) for i in range(6)]
 
 
@@ -80,21 +80,21 @@
     fleet.lose(["a"])
     at, _, _, event = fleet.pending[0]
     assert at == fleet.now + 1.0
-    assert isinstance(event, api.Outcome) and event.status is api.Status.TIMEOUT and not event.closed
+    assert isinstance(event, api.Outcome) and event.status is api.Status.TIMEOUT and not event.request_done
 
 
 def test_routers_that_vanished_are_asked_and_told_nothing() -> None:
     fleet = Fleet(CONF, 4, SERVERS)
     fleet.run(1.0, 200.0, zipf(50))
     fleet.lose([], [0])
-    before, heard = fleet.routers[0].taken, sum(c for (n, _), c in fleet.hears.items() if n == 0)
+    before, heard = fleet.routers[0].accepted, sum(c for (n, _), c in fleet.hears.items() if n == 0)
     fleet.run(1.0, 200.0, zipf(50))
-    assert fleet.routers[0].taken == before
+    assert fleet.routers[0].accepted == before
     assert sum(c for (n, _), c in fleet.hears.items() if n == 0) == heard
 
 
 def test_shared_rings_are_those_of_each_router_alone() -> None:
-    drained = api.ServerList(api.ListKind.DELTA, (replace(SERVERS[2], state=api.State.DRAINING),))
+    drained = api.ServerList(api.ListKind.DELTA, (replace(SERVERS[2], state=api.ServerState.DRAINING),))
 
     def rings() -> list[tuple[list[int], list[str], list[float]]]:
         found = []
