--- a/brackenwalk/policy.py
+++ b/brackenwalk/policy.py
@@ -133,7 +133,7 @@
     def _drop(self, name: str) -> None:
         if name in self.servers:
             server = self.servers.pop(name)
-            self.ring.place(server, name, 0)
+            self.ring.set_virtual_nodes(server, name, 0)
             self.named.pop(server.name, None)
             self.telling.drop(server)
 
@@ -152,10 +152,10 @@
         unit = 2.0 ** math.ceil(math.log2(largest))  # rarely changes with the fleet
         for s in self.servers.values():
             s.size = s.size or largest
-            self.ring.place(
+            self.ring.set_virtual_nodes(
                 s, s.entry.server, math.ceil(POINTS * s.size / unit) if s.cache and s.entry.ready else 0
             )
-        self.ring.settle()
+        self.ring.apply_changes()
         self.shares.total_size = sum(s.size for s in caches)
         self.mean_reported = sum(s.reported for s in caches) / max(1, len(caches))
 
@@ -257,7 +257,7 @@
         if not held.to_origin:
             self.demand.add(held.position >> 32)
         if self.caches and self.telling.due(self.now):
-            self.shares.plan(self._clockwise, self.ring.first)
+            self.shares.plan(self._clockwise, self.ring.owner_at)
             if message := self.telling.message(self.now):
                 self.out.append(api.Tell(message))
         self.retries = min(RETRIES_SAVED, self.retries + RETRY_SHARE)
--- a/brackenwalk/ring.py
+++ b/brackenwalk/ring.py
@@ -49,31 +49,31 @@
     """Who owns which points, each with a rank among its owner's."""
 
     def __init__(self) -> None:
-        self.points: dict[S, array[int]] = {}
-        self.moved: dict[S, array[int]] = {}  # since the ring was settled, and what it held then
+        self.nodes_by_owner: dict[S, array[int]] = {}
+        self.previous_nodes: dict[S, array[int]] = {}  # since the ring was settled, and what it held then
         self.positions: array[int] = array("Q")  # in the order of the walk, as are owners and ranks
         self.owners: list[S] = []
         self.ranks: array[float] = array("f")
 
-    def place(self, owner: S, name: str, count: int) -> None:
-        """Give an owner its points; `settle` makes them count."""
-        held = self.points.get(owner, array("Q"))
+    def set_virtual_nodes(self, owner: S, name: str, count: int) -> None:
+        """Give an owner its points; `apply_changes` makes them count."""
+        held = self.nodes_by_owner.get(owner, array("Q"))
         if count == len(held):
             return
-        self.moved.setdefault(owner, held)
-        self.points[owner] = array("Q", virtual_nodes(name, count))
+        self.previous_nodes.setdefault(owner, held)
+        self.nodes_by_owner[owner] = array("Q", virtual_nodes(name, count))
         if not count:
-            del self.points[owner]
+            del self.nodes_by_owner[owner]
 
-    def settle(self) -> None:
+    def apply_changes(self) -> None:
         """Take what was placed into the order of the walk; what stays between is copied in whole pieces."""
-        if not self.moved:
+        if not self.previous_nodes:
             return
-        leave = sorted(self._index(p, owner) for owner, held in self.moved.items() for p in held)
+        leave = sorted(self._index(p, owner) for owner, held in self.previous_nodes.items() for p in held)
         positions = without(self.positions, leave)
         points, owners, ranks = array("Q"), list[S](), array("f")
-        for owner in self.moved:
-            held = self.points.get(owner, array("Q"))
+        for owner in self.previous_nodes:
+            held = self.nodes_by_owner.get(owner, array("Q"))
             points += held
             owners += [owner] * len(held)
             ranks.extend((j + 0.5) / len(held) for j in range(len(held)))
@@ -82,7 +82,7 @@
         self.positions = merged(positions, places, [points[i] for i in order])
         self.owners = merged(without(self.owners, leave), places, [owners[i] for i in order])
         self.ranks = merged(without(self.ranks, leave), places, [ranks[i] for i in order])
-        self.moved.clear()
+        self.previous_nodes.clear()
 
     def _index(self, position: int, owner: S) -> int:
         """Where an owner's point stands; two owners' points may fall together."""
@@ -91,7 +91,7 @@
             index += 1
         return index
 
-    def first(self, position: int) -> S:
+    def owner_at(self, position: int) -> S:
         """The owner of the first point from a position on; IndexError where there is none."""
         return self.owners[bisect_left(self.positions, position) % len(self.positions)]
 
--- a/fleetlab/capacity.py
+++ b/fleetlab/capacity.py
@@ -339,7 +339,7 @@
     watch = f"watch of {number(WATCH_WAIT)} s by each router at discovery"
     tellers = f"hot keys told by {TELLERS} tellers, within {number(HEARD)} bytes a second"
     ailing = "ailing servers, told by routers to which it is news"
-    deltas = "list deltas; `Ring.settle` takes in what moved"
+    deltas = "list deltas; `Ring.apply_changes` takes in what moved"
     missing = "missing"
     peers_rate = ("hollow", "rate.peer"), ("module", "rate.peer"), ("real", "rate.peer")
     peers_in = measured(("network", "bytes.in.peers"), ("hollow", "bytes.in.peers"))
--- a/fleetlab/model.py
+++ b/fleetlab/model.py
@@ -70,25 +70,25 @@
     For many instances with the same list: each keeps its own owners, but the sorting is done once. Changes
     that are measured meanwhile cost far less than those of a router on its own (`module_costs` has these).
     """
-    own = ring.Ring.settle
+    own = ring.Ring.apply_changes
     memo: dict[frozenset[tuple[int, int]], tuple[array[int], list[int], array[float]]] = {}
 
-    def settle(self: ring.Ring[Any]) -> None:
-        if not self.moved:
+    def apply_changes(self: ring.Ring[Any]) -> None:
+        if not self.previous_nodes:
             return
-        key = frozenset((owner.name, len(points)) for owner, points in self.points.items())
+        key = frozenset((owner.name, len(points)) for owner, points in self.nodes_by_owner.items())
         if key not in memo:
             own(self)
             memo[key] = self.positions, [owner.name for owner in self.owners], self.ranks
             while len(memo) > kept:
                 del memo[next(iter(memo))]
             return
-        owners = {owner.name: owner for owner in self.points}
+        owners = {owner.name: owner for owner in self.nodes_by_owner}
         self.positions, names, self.ranks = memo[key]
         self.owners = list(map(owners.__getitem__, names))
-        self.moved.clear()
+        self.previous_nodes.clear()
 
-    with shared_points(), patch.object(ring.Ring, "settle", settle):
+    with shared_points(), patch.object(ring.Ring, "apply_changes", apply_changes):
         yield
 
 
--- a/tests/test_ring.py
+++ b/tests/test_ring.py
@@ -284,8 +284,8 @@
     for step in steps:
         for owner, count in step:
             now[f"s{owner}"] = count
-            ring.place(f"s{owner}", f"s{owner}", count)
-        ring.settle()
+            ring.set_virtual_nodes(f"s{owner}", f"s{owner}", count)
+        ring.apply_changes()
         points = sorted(
             (p, owner, (j + 0.5) / count)
             for owner, count in now.items()
@@ -301,9 +301,11 @@
 
     def seconds(*servers: int) -> float:
         for server in servers:
-            ring.place(f"s{server}", f"s{server}", 0 if f"s{server}" in ring.points else 128)
+            ring.set_virtual_nodes(
+                f"s{server}", f"s{server}", 0 if f"s{server}" in ring.nodes_by_owner else 128
+            )
         began = time.process_time()
-        ring.settle()
+        ring.apply_changes()
         return time.process_time() - began
 
     ring: Ring[str] = Ring()
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -81,7 +81,7 @@
             d.list(changed, kind=api.ListKind.DELTA)
         d.feed(api.TimerFired("the time"))
         if shares.caches:
-            shares.plan(d.router._clockwise, d.router.ring.first)
+            shares.plan(d.router._clockwise, d.router.ring.owner_at)
             expected = everyone(shares)
             got = {s.entry.server: f for s, f in shares.fair().items()}
             assert got == pytest.approx(expected)
@@ -104,7 +104,7 @@
         return started(server)
 
     monkeypatch.setattr(shares, "started", looked)
-    shares.plan(d.router._clockwise, d.router.ring.first)
+    shares.plan(d.router._clockwise, d.router.ring.owner_at)
     assert {s.entry.server for s in looks} <= {"s7"} and len(looks) < 100
 
 
