--- a/brackenwalk/__main__.py
+++ b/brackenwalk/__main__.py
@@ -159,7 +159,7 @@
         logging.info(
             "datagrams taken for none: %d unknown, %d garbled, %d late",
             peers.unknown,
-            demand.garbled,
+            demand.invalid,
             demand.stale,
         )
         peers.close()
--- a/brackenwalk/policy.py
+++ b/brackenwalk/policy.py
@@ -13,7 +13,7 @@
 
 from brackenwalk import interface as api
 from brackenwalk.calls import Calls
-from brackenwalk.demand import HOT
+from brackenwalk.demand import HOT_KEY_SHARE
 from brackenwalk.ring import Ring, ring_hash
 from brackenwalk.shares import CACHE_TARGET, EPSILON, Shares
 from brackenwalk.state import Attempt, Held, Server
@@ -76,7 +76,7 @@
         elif isinstance(event, api.ServerList):
             self._on_list(event)
         elif isinstance(event, api.PeerMessage):
-            for name in self.telling.hear(event.content, now):
+            for name in self.telling.receive(event.content, now):
                 if name in self.named:
                     self.shares.ease(self.named[name])
                     self.telling.drop(self.named[name])
@@ -192,7 +192,7 @@
         key = held.position >> 32
         part = self.shares.bears(key, server) / planned  # of the part that it is planned to get
         # guards the origin: split by chance, each small key would be fetched for two servers
-        small = self.demand.share(key) < HOT * server.size / self.shares.total_size
+        small = self.demand.share(key) < HOT_KEY_SHARE * server.size / self.shares.total_size
         draw = (held.position & 0xFFFFFFFF) / 2**32 if small else self.random.random()
         held.spared = bool(held.attempts) or draw >= part
         return not held.spared
@@ -258,7 +258,7 @@
             self.demand.add(held.position >> 32)
         if self.caches and self.telling.due(self.now):
             self.shares.plan(self._clockwise, self.ring.owner_at)
-            if message := self.telling.message(self.now):
+            if message := self.telling.next_message(self.now):
                 self.out.append(api.Tell(message))
         self.retries = min(RETRIES_SAVED, self.retries + RETRY_SHARE)
         self._advance(held)
--- a/brackenwalk/shares.py
+++ b/brackenwalk/shares.py
@@ -137,4 +137,4 @@
         def whole(position: int) -> Server | None:
             return None if (server := first(position)) in self.unsteady else server
 
-        self.portions = self.demand.share_out(self.fair(), 1 + EPSILON, clockwise, self.bears, whole)
+        self.portions = self.demand.split_hot_keys(self.fair(), 1 + EPSILON, clockwise, self.bears, whole)
--- a/brackenwalk/telling.py
+++ b/brackenwalk/telling.py
@@ -8,7 +8,7 @@
 import random
 
 from brackenwalk import interface as api
-from brackenwalk.demand import NAMES, Demand
+from brackenwalk.demand import MAX_SERVERS, Demand
 from brackenwalk.state import Server
 
 TELL = 0.25  # shortest aims between two messages to the peers: a hot key is known well within one
@@ -35,9 +35,9 @@
         """A server ails, and no peer has told of it just now."""
         self.ailing[server] = None
 
-    def hear(self, content: bytes, now: float) -> set[int]:
+    def receive(self, content: bytes, now: float) -> set[int]:
         """Take a peer's message; answers with the names of the servers that it finds ailing."""
-        return self.demand.hear(content, now)
+        return self.demand.receive(content, now)
 
     def drop(self, server: Server) -> None:
         """A server has left the list, or a peer has told of it."""
@@ -50,12 +50,12 @@
         self.tell_at = now + self.pause * self.random.uniform(0.5, 1.5)  # none in step
         return True
 
-    def message(self, now: float) -> bytes:
+    def next_message(self, now: float) -> bytes:
         """A message of at most 256 bytes, empty for none: what ails, and of keys what all may hear."""
-        size = DATAGRAM + self.demand.size(len(self.ailing))
+        size = DATAGRAM + self.demand.message_size(len(self.ailing))
         part = min(self.told, HEARD * self.pause / (self.settings.siblings * size))
         wanted = self.settings.peers and self.random.random() < part
-        told = list(self.ailing)[: NAMES if self.settings.peers else 0]  # the rest is for the next one
+        told = list(self.ailing)[: MAX_SERVERS if self.settings.peers else 0]  # the rest is for the next one
         for server in told:
             del self.ailing[server]
-        return self.demand.message([s.name for s in told], wanted, now)
+        return self.demand.next_message([s.name for s in told], wanted, now)
--- a/fleetlab/capacity.py
+++ b/fleetlab/capacity.py
@@ -17,7 +17,7 @@
 import msgspec
 
 from brackenwalk.__main__ import RESERVE
-from brackenwalk.demand import CHECK, HEAD, LINE, LINES, MEMORY, NAME
+from brackenwalk.demand import DIGEST_BYTES, HEADER, HISTORY_REQUESTS, KEY_ENTRY, MAX_KEYS, SERVER_ID
 from brackenwalk.net.discovery import ANSWER_MARGIN, EMPTY_PAUSE, WATCH_WAIT
 from brackenwalk.net.peers import HELD
 from brackenwalk.policy import FAULTY, POINTS, SILENCE
@@ -321,7 +321,7 @@
 
 def message_bytes(size: Size, aim: float) -> float:
     """The longest message to peers without names: a line for each request since the last one."""
-    return CHECK + HEAD.size + LINE.size * min(LINES, TELL * aim * size.rate)
+    return DIGEST_BYTES + HEADER.size + KEY_ENTRY.size * min(MAX_KEYS, TELL * aim * size.rate)
 
 
 def keys_bytes(size: Size, aim: float) -> float:
@@ -349,13 +349,17 @@
     machines = limits["control_machines"]
     limit_bytes = limits["control_bytes"]
 
-    longest = f"({CHECK + HEAD.size} + {LINE.size} × min({LINES}, requests between two messages)) bytes"
+    longest = (
+        f"({DIGEST_BYTES + HEADER.size} + {KEY_ENTRY.size} × "
+        f"min({MAX_KEYS}, requests between two messages)) bytes"
+    )
 
     router = [
         Row(
             "state",
             "the module's state, MB",
-            f"`Ring` with {POINTS} points a server, `Demand` with {number(MEMORY)} requests a server",
+            f"`Ring` with {POINTS} points a server, "
+            f"`Demand` with {number(HISTORY_REQUESTS)} requests a server",
             measured(("module", "state.mb"), ("hollow", "state.mb")),
             limits["control_mb"],
         ),
@@ -432,10 +436,10 @@
             "from peers while all routers find a server ailing at once and none hears another, a second",
             ailing,
             formula(
-                f"(routers − 1) / ({TELL:g} × aim of {aim:g} s) × ({DATAGRAM} + {CHECK + HEAD.size} + "
-                f"{NAME.size}) + what is heard of keys",
+                f"(routers − 1) / ({TELL:g} × aim of {aim:g} s) × "
+                f"({DATAGRAM} + {DIGEST_BYTES + HEADER.size} + {SERVER_ID.size}) + what is heard of keys",
                 lambda s: (
-                    (s.routers - 1) / (TELL * aim) * (DATAGRAM + CHECK + HEAD.size + NAME.size)
+                    (s.routers - 1) / (TELL * aim) * (DATAGRAM + DIGEST_BYTES + HEADER.size + SERVER_ID.size)
                     + keys_bytes(s, aim)
                 ),
             ),
@@ -487,7 +491,7 @@
                 ("list", "a whole list", "`known` at the start; " + deltas),
                 ("change", "a change of the list", deltas),
                 ("peer", "a datagram heard", "`Telling.hear`"),
-                ("tell", "a message to peers", "`Telling.message`, `Demand.share_out`"),
+                ("tell", "a message to peers", "`Telling.next_message`, `Demand.split_hot_keys`"),
                 ("request", "a request (no control)", "`Router._choose`"),
             )
         ),
--- a/tests/test_demand.py
+++ b/tests/test_demand.py
@@ -6,7 +6,7 @@
 
 from brackenwalk import interface as api
 from brackenwalk import policy
-from brackenwalk.demand import LINES, MOST, NAMES, Demand, sealed
+from brackenwalk.demand import MAX_COUNT, MAX_KEYS, MAX_SERVERS, Demand, with_digest
 from brackenwalk.ring import ring_hash
 from brackenwalk.state import Server
 from tests.driver import Driver, entry, settings
@@ -19,31 +19,35 @@
     for key in keys:
         for _ in range(times):
             one.add(key)
-    return one.message([])
+    return one.next_message([])
 
 
 def shared(demand: Demand, **fair: float) -> dict[int, dict[str, float]]:
-    return demand.share_out(fair, 1.25, lambda position: iter(fair), lambda key, server: 1.0)
+    return demand.split_hot_keys(fair, 1.25, lambda position: iter(fair), lambda key, server: 1.0)
 
 
 def test_a_message_tells_a_peer_what_was_asked_for_once() -> None:
     one, other = Demand(), Demand()
     for key in (7, 7, 9):
         one.add(key)
-    other.hear(one.message([]))
-    assert other.long.times == {7: 2, 9: 1} and other.long.total == 3
-    assert one.message([]) == b"" and other.message([]) == b""  # what was heard is not told on
+    other.receive(one.next_message([]))
+    assert other.history.counts == {7: 2, 9: 1} and other.history.total == 3
+    assert one.next_message([]) == b"" and other.next_message([]) == b""  # what was heard is not told on
 
 
 def test_a_message_never_outgrows_a_datagram_and_tells_the_hottest_first() -> None:
     one, other = Demand(), Demand()
     for key in (*range(1000), *[5] * 400, 6):
         one.add(key)
-    message = one.message(list(range(100)))
+    message = one.next_message(list(range(100)))
     assert len(message) <= 256
-    assert other.hear(message) == set(range(NAMES))
-    assert len(other.long.times) == LINES and other.long.times[5] == MOST and other.long.times[6] == 2
-    assert other.long.total == 1401  # or the shares of those told would be too large
+    assert other.receive(message) == set(range(MAX_SERVERS))
+    assert (
+        len(other.history.counts) == MAX_KEYS
+        and other.history.counts[5] == MAX_COUNT
+        and other.history.counts[6] == 2
+    )
+    assert other.history.total == 1401  # or the shares of those told would be too large
 
 
 GARBLED = told(1, 2, 3)
@@ -58,12 +62,12 @@
         GARBLED + b"\0" * 5,
         bytes([GARBLED[0] ^ 1]) + GARBLED[1:],
         GARBLED[:-1] + bytes([GARBLED[-1] ^ 64]),
-        sealed(b""),
-        sealed(b"\0"),
-        sealed(b"\0\1\2" + b"\0" * 9),
-        sealed(b"\0\1\0" + b"\0" * 3),
-        sealed(b"\0\0\0\1\2" + b"\0" * 9),  # a line short
-        sealed(b"\0\0\0\1\0" + b"\0" * 3),  # part of a name
+        with_digest(b""),
+        with_digest(b"\0"),
+        with_digest(b"\0\1\2" + b"\0" * 9),
+        with_digest(b"\0\1\0" + b"\0" * 3),
+        with_digest(b"\0\0\0\1\2" + b"\0" * 9),  # a line short
+        with_digest(b"\0\0\0\1\0" + b"\0" * 3),  # part of a name
         b"\xff" * 256,
     ],
 )
@@ -71,15 +75,15 @@
     d = Driver(settings(peers=True))
     d.list(*SERVERS)
     assert d.feed(api.PeerMessage(message)) == []
-    assert not d.router.demand.long.times and not d.router.demand.long.total
+    assert not d.router.demand.history.counts and not d.router.demand.history.total
 
 
 def test_what_is_remembered_stays_bounded() -> None:
     one = Demand()
     for start in range(0, 100_000, 40):
-        one.hear(told(*range(start, start + 40)))
+        one.receive(told(*range(start, start + 40)))
         shared(one, a=0.5, b=0.5)
-    assert one.long.total <= 256 and len(one.long.times) <= 300
+    assert one.history.total <= 256 and len(one.history.counts) <= 300
 
 
 def test_hot_keys_fill_what_others_leave_of_a_server() -> None:
@@ -143,9 +147,9 @@
         for message in asked(d, f"t{n}", f"t{n}")[1]:
             hears.feed(api.PeerMessage(message))
     assert all(s.eased < 1 for s in hears.router.servers.values())
-    times = hears.router.demand.long.times
+    times = hears.router.demand.history.counts
     assert sum(times[hashed(f"k{n}") >> 32] == 3 for n in range(100)) > 90
-    assert not d.router.telling.ailing and not d.router.demand.later
+    assert not d.router.telling.ailing and not d.router.demand.deferred
 
 
 def test_no_name_is_hashed_for_a_message(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -154,7 +158,7 @@
     d.list(*SERVERS)
     name = server(d, "s3").name
     monkeypatch.setattr(policy, "ring_hash", None)
-    d.feed(api.PeerMessage(Demand().message([name, 12345], now=d.now)))
+    d.feed(api.PeerMessage(Demand().next_message([name, 12345], now=d.now)))
     assert [s.entry.server for s in d.router.servers.values() if s.eased < 1] == ["s3"]
 
 
@@ -239,7 +243,7 @@
     for key in range(6 * 128):
         one.add(key)
     shared(one, **dict.fromkeys("abcdef", 1 / 6))
-    assert one.long.total <= 0.2 * 6 * 128
+    assert one.history.total <= 0.2 * 6 * 128
 
 
 def test_what_finds_no_room_is_not_left_to_the_first_server_alone() -> None:
@@ -248,7 +252,7 @@
     for key, times in ((1, 90), (2, 90), (3, 90), (4, 90)):
         for _ in range(times):
             one.add(key << 8)
-    portions = one.share_out(
+    portions = one.split_hot_keys(
         {"cold": 0.06, "b": 0.47, "c": 0.47},
         1.25,
         lambda position: iter(("cold", "b", "c")),
@@ -269,8 +273,8 @@
         for k in (f"k{n}" for n in range(100_000))
         if next(d.router._clockwise(hashed(k))) is server(d, "cold")
     )
-    d.router.demand.long.times[hashed(key) >> 32] = 300
-    d.router.demand.long.total = 1000.0
+    d.router.demand.history.counts[hashed(key) >> 32] = 300
+    d.router.demand.history.total = 1000.0
     d.now += 1.0
     d.request("first", key=key, finish=True)  # shares the key out
     portions = d.router.shares.portions[hashed(key) >> 32]
--- a/tests/test_net_peers.py
+++ b/tests/test_net_peers.py
@@ -64,7 +64,7 @@
             told.add(5)
             router.host.peer_heard(told.message([], now=router.host.clock.now()))
             router.host.peer_heard(b"garbled")
-            assert router.host.router.demand.long.times == {5: 1}
+            assert router.host.router.demand.history.counts == {5: 1}
             sent: list[bytes] = []
             router.host.tell = sent.append
             router.host._carry_out(api.Tell(b"content"))
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1065,4 +1065,4 @@
         request = api.Request(f"x{i}", "unheard-of", 1.0, key="flood")
         assert d.router.handle(d.now, request) == [api.Refuse(request.request)]
     assert not d.router.held and d.router.taken == 0
-    assert not d.router.demand.long.times and not d.router.demand.untold
+    assert not d.router.demand.history.counts and not d.router.demand.unsent
--- a/tests/test_telling.py
+++ b/tests/test_telling.py
@@ -10,21 +10,21 @@
 import pytest
 
 from brackenwalk import interface as api
-from brackenwalk.demand import CHECK, HEAD, LINE, LINES, NAME, Demand, stamp_of
+from brackenwalk.demand import DIGEST_BYTES, HEADER, KEY_ENTRY, MAX_KEYS, SERVER_ID, Demand, timestamp_of
 from brackenwalk.telling import DATAGRAM, FRESH, HEARD, Telling
 from fleetlab import model
 from fleetlab.model import Fleet, shared_rings, zipf
 from tests.driver import Driver, entry, settings
 
-NOTHING = bytes(CHECK) + HEAD.pack(0, 0, 0)
+NOTHING = bytes(DIGEST_BYTES) + HEADER.pack(0, 0, 0)
 SERVERS = [entry(f"s{i}", zone="abcd"[i % 4]) for i in range(12)]
 
 
 def names_in(message: bytes) -> list[int]:
     """The servers that a message tells of, by the form of `brackenwalk/demand.py`."""
-    body = message[CHECK:]
-    _, _, lines = HEAD.unpack_from(body)
-    return [name for (name,) in NAME.iter_unpack(body[HEAD.size + lines * LINE.size :])]
+    body = message[DIGEST_BYTES:]
+    _, _, lines = HEADER.unpack_from(body)
+    return [name for (name,) in SERVER_ID.iter_unpack(body[HEADER.size + lines * KEY_ENTRY.size :])]
 
 
 @pytest.mark.parametrize("routers", [4, 40, 230])
@@ -54,14 +54,14 @@
         if telling.due(now):
             for key in range(keys):
                 telling.demand.add(key)
-            message = telling.message(now)
+            message = telling.next_message(now)
             size += len(message) + DATAGRAM if message else 0
             count += bool(message)
     return size / now * siblings, count / now * siblings
 
 
 @pytest.mark.parametrize("siblings", [40, 230, 600, 2300])
-@pytest.mark.parametrize("keys", [8, LINES, 140])
+@pytest.mark.parametrize("keys", [8, MAX_KEYS, 140])
 def test_what_each_router_hears_of_keys_is_bounded_in_bytes(siblings: int, keys: int) -> None:
     """Forty tellers of full messages made 30 KB a second at every router; 12 KB are for all control."""
     assert 0.7 * min(HEARD, 40 * 4.0 * 77) < rate_of(siblings, keys)[0] < 1.3 * HEARD
@@ -77,11 +77,11 @@
     for d in (first, second):
         d.list(*SERVERS)
         d.router._found_ailing(d.router.servers["s1"])
-    content = first.router.telling.message(first.now)
+    content = first.router.telling.next_message(first.now)
     assert names_in(content) == [first.router.servers["s1"].name]
     second.feed(api.PeerMessage(content))
-    assert names_in(second.router.telling.message(second.now) or NOTHING) == []
-    assert names_in(first.router.telling.message(first.now) or NOTHING) == []  # told once
+    assert names_in(second.router.telling.next_message(second.now) or NOTHING) == []
+    assert names_in(first.router.telling.next_message(first.now) or NOTHING) == []  # told once
 
 
 def test_a_server_is_told_of_again_while_it_fails() -> None:
@@ -92,7 +92,7 @@
         d.now += 0.1
         d.feed(api.TimerFired("the time"))
         d.router._found_ailing(d.router.servers["s1"])
-        told.update(names_in(d.router.telling.message(d.now) or NOTHING))
+        told.update(names_in(d.router.telling.next_message(d.now) or NOTHING))
     assert 8 <= told[d.router.servers["s1"].name] <= 16  # as often as a cut counts: four a second
 
 
@@ -107,8 +107,8 @@
         d.now += 0.3
         d.feed(api.TimerFired("the time"))
         d.router._found_ailing(d.router.servers[f"s{n % 12}"])
-        sizes.append(len(d.router.telling.message(d.now)))
-    assert sorted(sizes)[180] == CHECK + HEAD.size + NAME.size
+        sizes.append(len(d.router.telling.next_message(d.now)))
+    assert sorted(sizes)[180] == DIGEST_BYTES + HEADER.size + SERVER_ID.size
 
 
 def test_a_message_that_comes_too_late_changes_nothing_and_is_counted() -> None:
@@ -117,23 +117,23 @@
     name = d.router.servers["s1"].name
     sender = Demand()
     sender.add(7)
-    late = sender.message([name], now=d.now - FRESH - 0.1)
+    late = sender.next_message([name], now=d.now - FRESH - 0.1)
     assert d.feed(api.PeerMessage(late)) == []
     assert d.feed(api.PeerMessage(late[:-1])) == []
-    assert d.router.servers["s1"].eased == 1 and not d.router.demand.long.total
-    assert (d.router.demand.stale, d.router.demand.garbled) == (1, 1)
+    assert d.router.servers["s1"].eased == 1 and not d.router.demand.history.total
+    assert (d.router.demand.stale, d.router.demand.invalid) == (1, 1)
     sender.add(7)
-    d.feed(api.PeerMessage(sender.message([name], now=d.now - FRESH + 0.1)))
-    assert d.router.servers["s1"].eased < 1 and d.router.demand.long.total == 1
+    d.feed(api.PeerMessage(sender.next_message([name], now=d.now - FRESH + 0.1)))
+    assert d.router.servers["s1"].eased < 1 and d.router.demand.history.total == 1
 
 
 def test_the_time_of_a_message_is_read_also_where_it_begins_anew() -> None:
     for now in (655.35, 655.36, 655.4, 1_795_000_000.0):
         sender, hears = Demand(), Demand(1.0, 2.0)
         sender.add(7)
-        hears.hear(sender.message([], now=now - 1.0), now)
-        assert hears.long.total == 1 and not hears.stale
-    assert stamp_of(655.36) == 0
+        hears.receive(sender.next_message([], now=now - 1.0), now)
+        assert hears.history.total == 1 and not hears.stale
+    assert timestamp_of(655.36) == 0
 
 
 def test_nothing_is_told_of_what_ails_where_routers_may_not_talk() -> None:
@@ -150,5 +150,5 @@
     """Read as the present form it would have told of requests that nobody made."""
     body = struct.pack(">HBIB", 600, 1, 7, 9) + bytes(2)
     hears = Demand()
-    hears.hear(hashlib.blake2b(body, digest_size=CHECK).digest() + body)
-    assert hears.garbled == 1 and not hears.long.total
+    hears.receive(hashlib.blake2b(body, digest_size=DIGEST_BYTES).digest() + body)
+    assert hears.invalid == 1 and not hears.history.total
