--- a/brackenwalk/policy.py
+++ b/brackenwalk/policy.py
@@ -12,12 +12,12 @@
 from collections.abc import Iterator
 
 from brackenwalk import interface as api
-from brackenwalk.calls import Calls
 from brackenwalk.demand import HOT_KEY_SHARE
+from brackenwalk.discovery_calls import DiscoveryCalls
+from brackenwalk.gossip import Gossip
 from brackenwalk.ring import Ring, ring_hash
 from brackenwalk.shares import CACHE_TARGET, EPSILON, Shares
 from brackenwalk.state import Attempt, Held, Server
-from brackenwalk.telling import Telling
 
 POINTS = 128  # virtual nodes of a server as large as the unit of weight: shares within a tenth or so
 WALK = 64  # points a walk goes at most: no tour of the fleet for each request when all is crowded
@@ -49,9 +49,9 @@
         self.servers: dict[str, Server] = {}
         self.named: dict[int, Server] = {}  # as peers name them
         self.ring: Ring[Server] = Ring()
-        self.calls = Calls(settings, self.random, now)
-        self.telling = Telling(settings, self.random, now)
-        self.demand = self.telling.demand
+        self.discovery_calls = DiscoveryCalls(settings, self.random, now)
+        self.gossip = Gossip(settings, self.random, now)
+        self.demand = self.gossip.demand
         self.shares = Shares(settings, self.demand, now)
         self.sizes: dict[str, float] = {}  # the largest weight seen of a kind
         self.held: dict[str, Held] = {}
@@ -76,10 +76,10 @@
         elif isinstance(event, api.ServerList):
             self._on_list(event)
         elif isinstance(event, api.PeerMessage):
-            for name in self.telling.receive(event.content, now):
+            for name in self.gossip.receive(event.content, now):
                 if name in self.named:
                     self.shares.ease(self.named[name])
-                    self.telling.drop(self.named[name])
+                    self.gossip.remove_unhealthy(self.named[name])
         elif isinstance(event, api.ClientGone) and event.request in self.held:
             self._forget(self.held[event.request])
         elif isinstance(event, api.Streaming) and event.request in self.held:
@@ -98,11 +98,11 @@
 
     def _on_list(self, event: api.ServerList) -> None:
         if event.kind is api.ListKind.FAILED:
-            self.out.append(api.SetTimer(self.calls.failed(self.now), "list"))
-            self.out.append(api.Log(f"list out of reach, {self.calls.failures} in a row"))
+            self.out.append(api.SetTimer(self.discovery_calls.delay_after_failure(self.now), "list"))
+            self.out.append(api.Log(f"list out of reach, {self.discovery_calls.failures} in a row"))
             return
         if event.kind is api.ListKind.MOVED:
-            self.out.append(api.SetTimer(self.calls.moved(), "list"))
+            self.out.append(api.SetTimer(self.discovery_calls.delay_after_move(), "list"))
             return
         if event.kind is not api.ListKind.DELTA:
             for i in self.servers.keys() - {e.server for e in event.entries}:
@@ -121,10 +121,10 @@
         if event.entries or event.kind is not api.ListKind.DELTA:
             self._build_ring()  # a watch's end with no news, one every few seconds, changes nothing
         if event.kind is not api.ListKind.SAVED:
-            self.calls.listed(self.now)
+            self.discovery_calls.list_received(self.now)
         elif self.settings.subscribe:
             # guards against asking in step: a call that waits too long fails, and is still worked through
-            self.out.append(api.SetTimer(self.calls.until_turn(self.now), "list"))
+            self.out.append(api.SetTimer(self.discovery_calls.delay_until_turn(self.now), "list"))
         queue, self.queue = sorted(self.queue), []
         for held in (q[2] for q in queue if q[2].waiting):
             held.waiting = False
@@ -135,7 +135,7 @@
             server = self.servers.pop(name)
             self.ring.set_virtual_nodes(server, name, 0)
             self.named.pop(server.name, None)
-            self.telling.drop(server)
+            self.gossip.remove_unhealthy(server)
 
     def _build_ring(self) -> None:
         """Points follow the size of a server alone, so that others coming or going move none of them."""
@@ -238,7 +238,7 @@
 
     def _found_ailing(self, server: Server) -> None:
         if self.shares.ease(server):
-            self.telling.found(server)
+            self.gossip.add_unhealthy(server)
 
     def _silent(self, server: Server) -> bool:
         """Whether a server owes us an answer and has given none, to anything, for too long."""
@@ -256,9 +256,9 @@
         self.taken += 1
         if not held.to_origin:
             self.demand.add(held.position >> 32)
-        if self.caches and self.telling.due(self.now):
+        if self.caches and self.gossip.due(self.now):
             self.shares.plan(self._clockwise, self.ring.owner_at)
-            if message := self.telling.next_message(self.now):
+            if message := self.gossip.next_message(self.now):
                 self.out.append(api.Tell(message))
         self.retries = min(RETRIES_SAVED, self.retries + RETRY_SHARE)
         self._advance(held)
@@ -325,7 +325,7 @@
     def _on_timer(self, event: api.TimerFired) -> None:
         what, _, name = event.token.partition(":")
         if what == "list":
-            self.calls.asked(self.now)
+            self.discovery_calls.call_started(self.now)
             self.out.append(api.Subscribe())
         elif what == "idle" and (idle := self.servers.get(name)) is not None:
             idle.look_at = idle.look_at if self.now < idle.look_at - self.settings.tick else math.inf
--- a/fleetlab/capacity.py
+++ b/fleetlab/capacity.py
@@ -18,10 +18,10 @@
 
 from brackenwalk.__main__ import RESERVE
 from brackenwalk.demand import DIGEST_BYTES, HEADER, HISTORY_REQUESTS, KEY_ENTRY, MAX_KEYS, SERVER_ID
+from brackenwalk.gossip import INTERVAL_FACTOR, MAX_BYTES_PER_S, MAX_SENDERS, UDP_OVERHEAD_BYTES
 from brackenwalk.net.discovery import ANSWER_MARGIN, EMPTY_PAUSE, WATCH_WAIT
 from brackenwalk.net.peers import HELD
 from brackenwalk.policy import FAULTY, POINTS, SILENCE
-from brackenwalk.telling import DATAGRAM, HEARD, TELL, TELLERS
 from fleetlab.experiment import Experiment, Fleet
 from fleetlab.plan import Addresses, Plan, entry_of, first_list
 from fleetlab.slopes import AFTER, BEFORE, LEAST_PLAYS, RATES, Fit, Point, Value, choose
@@ -83,7 +83,7 @@
         known = ({m: v for m, v in play.items() if v is not None} for play in plays)
         return [
             self.each * (v[self.metric] - v.get(self.over, 0.0)) * v.get(self.rate, 1.0)
-            + DATAGRAM * v.get(self.datagrams, 0.0)
+            + UDP_OVERHEAD_BYTES * v.get(self.datagrams, 0.0)
             for v in known
             if len(v) == len(names)
         ]
@@ -321,14 +321,16 @@
 
 def message_bytes(size: Size, aim: float) -> float:
     """The longest message to peers without names: a line for each request since the last one."""
-    return DIGEST_BYTES + HEADER.size + KEY_ENTRY.size * min(MAX_KEYS, TELL * aim * size.rate)
+    return DIGEST_BYTES + HEADER.size + KEY_ENTRY.size * min(MAX_KEYS, INTERVAL_FACTOR * aim * size.rate)
 
 
 def keys_bytes(size: Size, aim: float) -> float:
-    """Bytes a second that a router hears of keys at most, with the headers of IP and UDP; see `Telling`."""
-    message = DATAGRAM + message_bytes(size, aim)
-    part = min(1.0, TELLERS / size.routers, HEARD * TELL * aim / (size.routers * message))
-    return part * (size.routers - 1) / (TELL * aim) * message
+    """Bytes a second that a router hears of keys at most, with the headers of IP and UDP; see `Gossip`."""
+    message = UDP_OVERHEAD_BYTES + message_bytes(size, aim)
+    part = min(
+        1.0, MAX_SENDERS / size.routers, MAX_BYTES_PER_S * INTERVAL_FACTOR * aim / (size.routers * message)
+    )
+    return part * (size.routers - 1) / (INTERVAL_FACTOR * aim) * message
 
 
 def tables(given: Given) -> dict[str, list[Row]]:
@@ -337,7 +339,7 @@
     aim = float(deploy["shortest_aim"])
     room = int(deploy["sockets"]) - RESERVE
     watch = f"watch of {number(WATCH_WAIT)} s by each router at discovery"
-    tellers = f"hot keys told by {TELLERS} tellers, within {number(HEARD)} bytes a second"
+    tellers = f"hot keys told by {MAX_SENDERS} tellers, within {number(MAX_BYTES_PER_S)} bytes a second"
     ailing = "ailing servers, told by routers to which it is news"
     deltas = "list deltas; `Ring.apply_changes` takes in what moved"
     missing = "missing"
@@ -424,9 +426,10 @@
             "from peers, at most, a second",
             tellers,
             formula(
-                f"(routers − 1) / ({TELL:g} × aim of {aim:g} s) × ({DATAGRAM} + message) × the least of 1, "
-                f"{TELLERS} / routers and {number(HEARD)} × {TELL:g} × aim / "
-                f"(routers × ({DATAGRAM} + message)); message: {longest}",
+                f"(routers − 1) / ({INTERVAL_FACTOR:g} × aim of {aim:g} s) × "
+                f"({UDP_OVERHEAD_BYTES} + message) × the least of 1, "
+                f"{MAX_SENDERS} / routers and {number(MAX_BYTES_PER_S)} × {INTERVAL_FACTOR:g} × aim / "
+                f"(routers × ({UDP_OVERHEAD_BYTES} + message)); message: {longest}",
                 lambda s: keys_bytes(s, aim),
             ),
             limit_bytes,
@@ -436,10 +439,13 @@
             "from peers while all routers find a server ailing at once and none hears another, a second",
             ailing,
             formula(
-                f"(routers − 1) / ({TELL:g} × aim of {aim:g} s) × "
-                f"({DATAGRAM} + {DIGEST_BYTES + HEADER.size} + {SERVER_ID.size}) + what is heard of keys",
+                f"(routers − 1) / ({INTERVAL_FACTOR:g} × aim of {aim:g} s) × "
+                f"({UDP_OVERHEAD_BYTES} + {DIGEST_BYTES + HEADER.size} + {SERVER_ID.size}) "
+                f"+ what is heard of keys",
                 lambda s: (
-                    (s.routers - 1) / (TELL * aim) * (DATAGRAM + DIGEST_BYTES + HEADER.size + SERVER_ID.size)
+                    (s.routers - 1)
+                    / (INTERVAL_FACTOR * aim)
+                    * (UDP_OVERHEAD_BYTES + DIGEST_BYTES + HEADER.size + SERVER_ID.size)
                     + keys_bytes(s, aim)
                 ),
             ),
@@ -490,8 +496,8 @@
             for kind, label, how in (
                 ("list", "a whole list", "`known` at the start; " + deltas),
                 ("change", "a change of the list", deltas),
-                ("peer", "a datagram heard", "`Telling.hear`"),
-                ("tell", "a message to peers", "`Telling.next_message`, `Demand.split_hot_keys`"),
+                ("peer", "a datagram heard", "`Gossip.receive`"),
+                ("tell", "a message to peers", "`Gossip.next_message`, `Demand.split_hot_keys`"),
                 ("request", "a request (no control)", "`Router._choose`"),
             )
         ),
@@ -613,19 +619,19 @@
         Row(
             "messages",
             "calls failed, a second",
-            "asked again once a round, in turn: `Calls`",
+            "asked again once a round, in turn: `DiscoveryCalls`",
             measured(("discovery", "calls.failed")),
         ),
         Row(
             "messages",
             "calls waiting, most",
-            "`Calls.until_turn`: each router's call in its turn",
+            "`DiscoveryCalls.delay_until_turn`: each router's call in its turn",
             measured(("discovery", "calls.waiting")),
         ),
         Row(
             "messages",
             "service time if all begin a watch at once, seconds",
-            "`Calls.until_turn`",
+            "`DiscoveryCalls.delay_until_turn`",
             formula(
                 f"routers × {number(float(deploy['call_ms']))} ms",
                 lambda s: s.routers * float(deploy["call_ms"]) / 1000,
@@ -976,8 +982,8 @@
             "watch": WATCH_WAIT,
             "margin": ANSWER_MARGIN,
             "faulty": FAULTY,
-            "tellers": TELLERS,
-            "headers": DATAGRAM,
+            "tellers": MAX_SENDERS,
+            "headers": UDP_OVERHEAD_BYTES,
             "silence": SILENCE,
             "purges_rate": purges,
             "purge_within": limits["purge_within"],
--- a/fleetlab/module_costs.py
+++ b/fleetlab/module_costs.py
@@ -36,8 +36,9 @@
 
 def tell_at(router: Router) -> float:
     """When a router shares out demand and tells its peers next; with a request, from then on."""
-    holder: Any = getattr(router, "telling", router)
-    return float(holder.tell_at)
+    # earlier versions of the module call them `telling` and `tell_at`, the first ones on the router itself
+    holder: Any = getattr(router, "gossip", None) or getattr(router, "telling", router)
+    return float(holder.next_at if hasattr(holder, "next_at") else holder.tell_at)
 
 
 class Timed(Router):
--- a/tests/test_demand.py
+++ b/tests/test_demand.py
@@ -149,7 +149,7 @@
     assert all(s.eased < 1 for s in hears.router.servers.values())
     times = hears.router.demand.history.counts
     assert sum(times[hashed(f"k{n}") >> 32] == 3 for n in range(100)) > 90
-    assert not d.router.telling.ailing and not d.router.demand.deferred
+    assert not d.router.gossip.unhealthy and not d.router.demand.deferred
 
 
 def test_no_name_is_hashed_for_a_message(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -177,7 +177,7 @@
         d = Driver(settings(peers=True), seed=seed)
         d.list(*SERVERS)
         asked(d, "first", "k")
-        times.append(round(d.router.telling.tell_at - d.now, 4))
+        times.append(round(d.router.gossip.next_at - d.now, 4))
     assert len(set(times)) > 4
 
 
--- a/tests/test_telling.py
+++ b/tests/test_gossip.py
@@ -11,7 +11,7 @@
 
 from brackenwalk import interface as api
 from brackenwalk.demand import DIGEST_BYTES, HEADER, KEY_ENTRY, MAX_KEYS, SERVER_ID, Demand, timestamp_of
-from brackenwalk.telling import DATAGRAM, FRESH, HEARD, Telling
+from brackenwalk.gossip import MAX_AGE_FACTOR, MAX_BYTES_PER_S, UDP_OVERHEAD_BYTES, Gossip
 from fleetlab import model
 from fleetlab.model import Fleet, shared_rings, zipf
 from tests.driver import Driver, entry, settings
@@ -48,14 +48,14 @@
 def rate_of(siblings: int, keys: int) -> tuple[float, float]:
     """Bytes and messages a second that each router hears of so many siblings with so many keys a message."""
     conf = settings(peers=True, siblings=siblings)
-    telling, now, size, count = Telling(conf, random.Random(3), 0.0), 0.0, 0, 0
+    gossip, now, size, count = Gossip(conf, random.Random(3), 0.0), 0.0, 0, 0
     while now < 400.0:
         now += 0.01
-        if telling.due(now):
+        if gossip.due(now):
             for key in range(keys):
-                telling.demand.add(key)
-            message = telling.next_message(now)
-            size += len(message) + DATAGRAM if message else 0
+                gossip.demand.add(key)
+            message = gossip.next_message(now)
+            size += len(message) + UDP_OVERHEAD_BYTES if message else 0
             count += bool(message)
     return size / now * siblings, count / now * siblings
 
@@ -64,7 +64,7 @@
 @pytest.mark.parametrize("keys", [8, MAX_KEYS, 140])
 def test_what_each_router_hears_of_keys_is_bounded_in_bytes(siblings: int, keys: int) -> None:
     """Forty tellers of full messages made 30 KB a second at every router; 12 KB are for all control."""
-    assert 0.7 * min(HEARD, 40 * 4.0 * 77) < rate_of(siblings, keys)[0] < 1.3 * HEARD
+    assert 0.7 * min(MAX_BYTES_PER_S, 40 * 4.0 * 77) < rate_of(siblings, keys)[0] < 1.3 * MAX_BYTES_PER_S
 
 
 @pytest.mark.parametrize(("siblings", "messages"), [(4, 16.0), (40, 160.0), (200, 160.0)])
@@ -77,11 +77,11 @@
     for d in (first, second):
         d.list(*SERVERS)
         d.router._found_ailing(d.router.servers["s1"])
-    content = first.router.telling.next_message(first.now)
+    content = first.router.gossip.next_message(first.now)
     assert names_in(content) == [first.router.servers["s1"].name]
     second.feed(api.PeerMessage(content))
-    assert names_in(second.router.telling.next_message(second.now) or NOTHING) == []
-    assert names_in(first.router.telling.next_message(first.now) or NOTHING) == []  # told once
+    assert names_in(second.router.gossip.next_message(second.now) or NOTHING) == []
+    assert names_in(first.router.gossip.next_message(first.now) or NOTHING) == []  # told once
 
 
 def test_a_server_is_told_of_again_while_it_fails() -> None:
@@ -92,7 +92,7 @@
         d.now += 0.1
         d.feed(api.TimerFired("the time"))
         d.router._found_ailing(d.router.servers["s1"])
-        told.update(names_in(d.router.telling.next_message(d.now) or NOTHING))
+        told.update(names_in(d.router.gossip.next_message(d.now) or NOTHING))
     assert 8 <= told[d.router.servers["s1"].name] <= 16  # as often as a cut counts: four a second
 
 
@@ -103,11 +103,11 @@
     sizes = []
     for n in range(200):
         for key in range(60):
-            d.router.telling.demand.add(key)
+            d.router.gossip.demand.add(key)
         d.now += 0.3
         d.feed(api.TimerFired("the time"))
         d.router._found_ailing(d.router.servers[f"s{n % 12}"])
-        sizes.append(len(d.router.telling.next_message(d.now)))
+        sizes.append(len(d.router.gossip.next_message(d.now)))
     assert sorted(sizes)[180] == DIGEST_BYTES + HEADER.size + SERVER_ID.size
 
 
@@ -117,13 +117,13 @@
     name = d.router.servers["s1"].name
     sender = Demand()
     sender.add(7)
-    late = sender.next_message([name], now=d.now - FRESH - 0.1)
+    late = sender.next_message([name], now=d.now - MAX_AGE_FACTOR - 0.1)
     assert d.feed(api.PeerMessage(late)) == []
     assert d.feed(api.PeerMessage(late[:-1])) == []
     assert d.router.servers["s1"].eased == 1 and not d.router.demand.history.total
     assert (d.router.demand.stale, d.router.demand.invalid) == (1, 1)
     sender.add(7)
-    d.feed(api.PeerMessage(sender.next_message([name], now=d.now - FRESH + 0.1)))
+    d.feed(api.PeerMessage(sender.next_message([name], now=d.now - MAX_AGE_FACTOR + 0.1)))
     assert d.router.servers["s1"].eased < 1 and d.router.demand.history.total == 1
 
 
--- a/tests/test_house.py
+++ b/tests/test_house.py
@@ -8,7 +8,7 @@
 
 ROOT = Path(__file__).parent.parent
 MODULE = (ROOT / "brackenwalk" / "policy.py").read_text()
-OTHERS = ("ring", "state", "demand", "shares", "telling", "calls")
+OTHERS = ("ring", "state", "demand", "shares", "gossip", "discovery_calls")
 PARTS = [MODULE, *((ROOT / "brackenwalk" / f"{n}.py").read_text() for n in OTHERS)]
 OTHERS_WORDS = (
     "lessons mechelen hobart timetable booking slot- grid prize hint-spend quote amend shannonside "
@@ -55,12 +55,12 @@
         "itertools",
         "typing",
         "brackenwalk",
-        "brackenwalk.calls",
+        "brackenwalk.discovery_calls",
         "brackenwalk.demand",
         "brackenwalk.ring",
         "brackenwalk.shares",
         "brackenwalk.state",
-        "brackenwalk.telling",
+        "brackenwalk.gossip",
     }
     assert set(imported) <= allowed
     assert "brackenwalk/interface.py" in MODULE.split('"""')[1]
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -10,7 +10,7 @@
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
-from brackenwalk import calls, policy, state
+from brackenwalk import discovery_calls, policy, state
 from brackenwalk import interface as api
 from brackenwalk.net import discovery
 from brackenwalk.policy import Router
@@ -162,7 +162,7 @@
 def test_subscribes_and_backs_off_after_failures() -> None:
     d = Driver(settings(subscribe=True))
     d.list(*fleet("a"), kind=api.ListKind.SAVED)
-    d.wait(calls.CALL)
+    d.wait(discovery_calls.TURN_S)
     assert d.last == [api.Subscribe()]
     pauses = []
     for _ in range(6):
@@ -188,9 +188,13 @@
         (turn,) = (a for a in d.last if isinstance(a, api.SetTimer))
         turns.append(turn.delay)
     turns.sort()
-    assert turns[-1] < min(calls.CALL * siblings, 5.0)  # half of the 10 s in which each must have asked
+    # half of the 10 s in which each must have asked
+    assert turns[-1] < min(discovery_calls.TURN_S * siblings, 5.0)
     for start in turns:
-        assert sum(start <= t < start + 2.0 for t in turns) <= max(2.0 / calls.CALL, 0.4 * siblings) + 2
+        assert (
+            sum(start <= t < start + 2.0 for t in turns)
+            <= max(2.0 / discovery_calls.TURN_S, 0.4 * siblings) + 2
+        )
 
 
 def test_routers_told_together_of_a_new_discovery_do_not_ask_in_step() -> None:
@@ -233,7 +237,7 @@
     """What the agent has counts as told: a pause of half a ramp broke the rule on drains."""
     conf = settings(siblings=siblings, drain_grace=0.5, fall_window=3.0, ramp=23.0)
     pauses = pauses_after_failures(conf, 20)
-    assert pauses[0] <= calls.CALL and max(pauses) <= 0.25
+    assert pauses[0] <= discovery_calls.TURN_S and max(pauses) <= 0.25
 
 
 def test_few_routers_ask_again_before_silence_counts_as_told() -> None:
@@ -481,7 +485,7 @@
 def test_a_silent_server_gets_one_trial_at_a_time_until_it_answers() -> None:
     d = Driver(settings())
     d.list(*fleet("a", "b"))
-    d.router.telling.tell_at = math.inf  # or so hot a key would be shared out
+    d.router.gossip.next_at = math.inf  # or so hot a key would be shared out
     first, second = order_of(d, "k")
     assert [d.request(f"r{n}", key="k") for n in "12"] == [first, first]
     d.now += 1.1
@@ -699,7 +703,7 @@
     d.list(*(entry(n, weight=2.0) for n in names))
     first = d.request("r", key="k", finish=True)
     d.list(*(entry(n, weight=0.5 if n == first else 1.0) for n in names))
-    d.router.telling.tell_at = math.inf  # or so hot a key would be shared out
+    d.router.gossip.next_at = math.inf  # or so hot a key would be shared out
     sent = [d.request(f"r{n}", key="k", finish=True) for n in range(200)]
     assert 70 < sent.count(first) < 140  # 3 held against a cap of 1.56: half stay
 
@@ -953,7 +957,7 @@
     """Its failures came at once, so it looked quick and idle, and each of its keys paid for an attempt."""
     d = Driver(settings(**ASIDE))
     d.list(*fleet("a", "b"))
-    d.router.telling.tell_at = math.inf  # or so hot a key would be shared out
+    d.router.gossip.next_at = math.inf  # or so hot a key would be shared out
     first, second = order_of(d, "k")
     for n in range(policy.FAULTY):
         assert d.request(f"r{n}", key="k") == first
@@ -972,7 +976,7 @@
 def test_a_full_server_is_not_faulty() -> None:
     d = Driver(settings())
     d.list(*fleet("a", "b"))
-    d.router.telling.tell_at = math.inf  # or so hot a key would be shared out
+    d.router.gossip.next_at = math.inf  # or so hot a key would be shared out
     first, _ = order_of(d, "k")
     for n in range(2 * policy.FAULTY):
         assert d.request(f"r{n}", key="k") == first
--- a/tests/test_wirehost.py
+++ b/tests/test_wirehost.py
@@ -13,7 +13,7 @@
 
 from brackenwalk import interface as api
 from brackenwalk import wirehost
-from brackenwalk.calls import CALL
+from brackenwalk.discovery_calls import TURN_S
 from brackenwalk.settings import read_settings
 from brackenwalk.wirehost import Host, WireError
 
@@ -60,7 +60,7 @@
     )
     if not changes:
         ((op, ctx, pause),) = ((c["op"], c["ctx"], c["fromNow"]) for c in commands)
-        assert (op, ctx) == ("Timer", "list") and 0 <= pause < 3 * CALL
+        assert (op, ctx) == ("Timer", "list") and 0 <= pause < 3 * TURN_S
         assert play(host, 1.0, {"op": "Wake", "ctx": "list"}) == [{"op": "Listen", "enable": True}]
     return host
 
