--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -18,7 +18,7 @@
 from brackenwalk.net.pool import Pool
 from brackenwalk.net.servers import CacheConnection
 
-PATIENCE = 10.0  # seconds until a test that waits for an event fails
+TIMEOUT_S = 10.0  # seconds until a test that waits for an event fails
 HIT = b"*3\r\n$5\r\nvalue\r\n$3\r\nhit\r\n$-1\r\n"
 MISS = b"*3\r\n$-1\r\n$4\r\nmiss\r\n$-1\r\n"
 READ = api.RequestClass("read", aim=1.0)
@@ -40,14 +40,14 @@
 
     async def bounded() -> None:
         asyncio.get_running_loop().set_exception_handler(lambda _, fault: faults.append(fault))
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TIMEOUT_S):
             await scenario()
 
     asyncio.run(bounded())
     assert not faults
 
 
-def spelled(address: tuple[str, int]) -> str:
+def format_address(address: tuple[str, int]) -> str:
     return f"{address[0]}:{address[1]}"
 
 
@@ -93,7 +93,7 @@
         headers = {k.lower(): v for k, v in (line.split(": ", 1) for line in rest)}
         return first, headers, await self.reader.readexactly(int(headers.get("content-length", 0)))
 
-    async def ended(self) -> bool:
+    async def wait_closed(self) -> bool:
         """Wait for the other side to close."""
         try:
             return await self.reader.read() == b""
@@ -110,7 +110,7 @@
         self.writer.transport.abort()
 
 
-class Peer:
+class ScriptedServer:
     """A server whose every connection the test takes in hand."""
 
     def __init__(self) -> None:
@@ -118,7 +118,7 @@
 
     async def __aenter__(self) -> Self:
         self.server = await asyncio.start_server(self._accept, "127.0.0.1", 0)
-        self.address = spelled(self.server.sockets[0].getsockname())
+        self.address = format_address(self.server.sockets[0].getsockname())
         return self
 
     async def __aexit__(
@@ -138,14 +138,14 @@
     return Member(api.ServerEntry(name, kind=kind, weight=1.0, **fields), address)
 
 
-class Router:
+class RouterHarness:
     """A host with its listener between two caches and an origin."""
 
     def __init__(self, settings: api.Settings = SETTINGS, listed: bool = True, clients: int = 16) -> None:
         self.listed = listed
         self.subscribed = 0
-        self.caches = {"a": Peer(), "b": Peer()}
-        self.origin = Peer()
+        self.caches = {"a": ScriptedServer(), "b": ScriptedServer()}
+        self.origin = ScriptedServer()
         self.servers = Pool(CacheConnection, 16, 1.0, 60.0)
         self.origins = Pool(OriginConnection, 16, 1.0, 60.0)
         self.host = Host(settings, 1, self.servers, self.origins, self._subscribe)
@@ -190,7 +190,7 @@
             other.cancel()
         return done.pop().result()
 
-    async def begun(self, request: str = "r1", info: str = "c=read,t=x,d=2000") -> tuple[Link, Link]:
+    async def start_read(self, request: str = "r1", info: str = "c=read,t=x,d=2000") -> tuple[Link, Link]:
         """A client's read that a cache has in hand: the ends of both."""
         client = await self.client()
         client.write(read(request, info=info))
--- a/tests/test_grammar_http.py
+++ b/tests/test_grammar_http.py
@@ -19,7 +19,7 @@
 from brackenwalk import interface as api
 from brackenwalk.net.discovery import Discovery
 from brackenwalk.net.http import MAX_FRAMING, MAX_INFORMATIONAL, HttpClient, HttpError, Response
-from tests.loopback import run, spelled
+from tests.loopback import format_address, run
 
 OK = b"HTTP/1.1 200 OK\r\n"
 CHUNKED = OK + b"Transfer-Encoding: chunked\r\n\r\n"
@@ -589,7 +589,7 @@
         news: asyncio.Queue[api.ListKind | None] = asyncio.Queue()
         with socket.create_server(("127.0.0.1", 0)) as server:
             server.setblocking(False)
-            address = spelled(server.getsockname())
+            address = format_address(server.getsockname())
             watch = Discovery(
                 address, 0, lambda kind, _: news.put_nowait(kind), lambda: news.put_nowait(None)
             )
--- a/tests/test_grammar_resp.py
+++ b/tests/test_grammar_resp.py
@@ -18,7 +18,7 @@
 from brackenwalk.net.pool import Answer, MalformedAnswer, Pool
 from brackenwalk.net.resp import NOT_YET, Reader
 from brackenwalk.net.servers import CacheConnection
-from tests.loopback import Peer, Router, command, run
+from tests.loopback import RouterHarness, ScriptedServer, command, run
 from tests.test_net_host import error
 from tests.test_net_pool import caches
 
@@ -173,7 +173,7 @@
     """`*3 $4 abcdef$-1` was served as `abcd`: the two bytes after a bulk string were passed over unread."""
 
     async def scenario() -> None:
-        async with Peer() as peer:
+        async with ScriptedServer() as peer:
             ends = caches()
             link = await ends.begun(peer)
             spoilt = b"$5\r\nvalueXY$-1\r\n$-1\r\n"
@@ -181,7 +181,7 @@
             await link.writer.drain()
             link.write(spoilt[4 + at :])
             assert await ends.end() == (Status.ERROR, b"")
-            assert await link.ended() and not ends.pool.connections
+            assert await link.wait_closed() and not ends.pool.connections
 
     run(scenario)
 
@@ -273,11 +273,11 @@
 )
 def test_a_command_that_breaks_the_grammar_gets_an_error_and_a_close(spoilt: bytes) -> None:
     async def scenario() -> None:
-        async with Router() as router:
+        async with RouterHarness() as router:
             client = await router.client()
             client.write(command("PING") + spoilt + command("PING"))
             assert await client.resp() == b"PONG"
             assert error(await client.resp()).startswith("ERR")
-            assert await client.ended()
+            assert await client.wait_closed()
 
     run(scenario)
--- a/tests/test_main.py
+++ b/tests/test_main.py
@@ -16,7 +16,7 @@
 
 from brackenwalk import __main__ as program
 from brackenwalk.net.pool import address_of
-from tests.loopback import HIT, PATIENCE, Link, Peer, command, http, read, run, spelled
+from tests.loopback import HIT, TIMEOUT_S, Link, ScriptedServer, command, format_address, http, read, run
 from tests.test_net_discovery import LINE, message
 from tests.test_wirehost import CONF
 
@@ -98,7 +98,7 @@
 ) -> None:
     with socket.create_server(("127.0.0.1", 0)) as taken:
         path = tmp_path / "config.json"
-        path.write_bytes(orjson.dumps({**GOOD, "listen": spelled(taken.getsockname())}))
+        path.write_bytes(orjson.dumps({**GOOD, "listen": format_address(taken.getsockname())}))
         monkeypatch.setenv("RELAY_CONFIG", str(path))
         assert program.main() == 2
     assert capsys.readouterr().err.splitlines()[-1].startswith("brackenwalk: listen: ")
@@ -145,7 +145,7 @@
     """
 
     async def scenario() -> None:
-        async with Peer() as cache, Peer() as discovery, Peer() as moved:
+        async with ScriptedServer() as cache, ScriptedServer() as discovery, ScriptedServer() as moved:
             line = {**LINE, "address": cache.address, "type": "std", "since_ms": 0}
             known = {"index": 1, "snapshot": True, "endpoints": [line]}
             settings = {**CONF, "membershipMode": mode}
@@ -170,10 +170,10 @@
                 assert "after=2&" in (await (await moved.link()).http())[0]
                 process.send_signal(signal.SIGTERM)
                 late = await ready(address)
-                assert await late.ended()
+                assert await late.wait_closed()
                 served.write(HIT)
                 assert await client.resp() == b"value"
-                async with asyncio.timeout(PATIENCE):
+                async with asyncio.timeout(TIMEOUT_S):
                     assert await process.wait() == 0
             finally:
                 if process.returncode is None:
@@ -186,7 +186,7 @@
     """SIGKILL comes by the longest deadline of the settings: until then all must have had their answers."""
 
     async def scenario() -> None:
-        async with Peer() as cache, Peer() as discovery:
+        async with ScriptedServer() as cache, ScriptedServer() as discovery:
             line = {**LINE, "address": cache.address, "type": "std", "since_ms": 0}
             classes = [{**CONF["classes"][0], "giveUp": 0.3}, *CONF["classes"][1:]]
             config = {**GOOD, "listen": "127.0.0.1:0", "discovery": discovery.address}
@@ -205,7 +205,7 @@
                 process.send_signal(signal.SIGHUP)
                 async with asyncio.timeout(3.0):  # three times as long as until SIGKILL
                     for client in clients:
-                        assert isinstance(await client.resp(), Exception) and await client.ended()
+                        assert isinstance(await client.resp(), Exception) and await client.wait_closed()
                 assert await process.wait() == 0
             finally:
                 if process.returncode is None:
@@ -218,7 +218,7 @@
     """A thousand servers and as many routers: it starts, serves, hears of changes and stays small."""
 
     async def scenario() -> None:
-        async with Peer() as cache, Peer() as discovery:
+        async with ScriptedServer() as cache, ScriptedServer() as discovery:
             lines = [{**LINE, "name": f"s-{i}", "address": cache.address, "since_ms": 0} for i in range(1024)]
             known = {"index": 1, "snapshot": True, "endpoints": lines}
             peers = ["127.0.0.1:0", *(f"127.1.{i // 256}.{i % 256}:7946" for i in range(1023))]
--- a/tests/test_net_discovery.py
+++ b/tests/test_net_discovery.py
@@ -12,7 +12,7 @@
 from brackenwalk.net import discovery as discoveries
 from brackenwalk.net.discovery import Discovery, ListError, read_list
 from brackenwalk.net.host import Member
-from tests.loopback import Link, Peer, http, run
+from tests.loopback import Link, ScriptedServer, http, run
 
 LINE: dict[str, Any] = {
     "name": "s-1",
@@ -33,7 +33,7 @@
 class Told:
     """What a watch tells its router, in order; a failure is None."""
 
-    def __init__(self, peer: Peer) -> None:
+    def __init__(self, peer: ScriptedServer) -> None:
         self.news: asyncio.Queue[tuple[api.ListKind, list[Member]] | None] = asyncio.Queue()
         self.watch = Discovery(
             peer.address,
@@ -44,7 +44,7 @@
         self.watch.subscribe()
 
 
-async def call(peer: Peer) -> tuple[str, Link]:
+async def call(peer: ScriptedServer) -> tuple[str, Link]:
     link = await peer.link()
     return (await link.http())[0], link
 
@@ -77,7 +77,7 @@
 
 def test_a_watch_goes_on_from_what_it_was_told() -> None:
     async def scenario() -> None:
-        async with Peer() as peer:
+        async with ScriptedServer() as peer:
             told = Told(peer)
             first, link = await call(peer)
             assert first == "GET /registry/instances?after=41&wait_ms=3000 HTTP/1.1"
@@ -96,7 +96,7 @@
 
 def test_asking_again_while_a_watch_is_on_makes_no_second_call() -> None:
     async def scenario() -> None:
-        async with Peer() as peer:
+        async with ScriptedServer() as peer:
             told = Told(peer)
             told.watch.subscribe()
             _, link = await call(peer)
@@ -125,7 +125,7 @@
     """Half a list taken for whole would drop servers that are well; an exception would end the watch."""
 
     async def scenario() -> None:
-        async with Peer() as peer:
+        async with ScriptedServer() as peer:
             told = Told(peer)
             _, link = await call(peer)
             link.write(answer)
@@ -140,7 +140,7 @@
 
 def test_a_refused_call_is_told() -> None:
     async def scenario() -> None:
-        async with Peer() as peer:
+        async with ScriptedServer() as peer:
             pass
         assert await Told(peer).news.get() is None
 
@@ -153,11 +153,11 @@
     async def scenario() -> None:
         monkeypatch.setattr(discoveries, "WATCH_WAIT", 0.05)
         monkeypatch.setattr(discoveries, "ANSWER_MARGIN", 0.05)
-        async with Peer() as peer:
+        async with ScriptedServer() as peer:
             told = Told(peer)
             _, link = await call(peer)
             assert await told.news.get() is None
-            assert await link.ended()
+            assert await link.wait_closed()
 
     run(scenario)
 
@@ -166,7 +166,7 @@
     """A watch that ended without a word would leave the router with its old list for good."""
 
     async def scenario() -> None:
-        async with Peer() as peer:
+        async with ScriptedServer() as peer:
             told = Told(peer)
 
             def faulty(kind: api.ListKind, members: list[Member]) -> None:
@@ -185,7 +185,7 @@
     """The old one tells nothing more; what the new one has to tell counts as told soon."""
 
     async def scenario() -> None:
-        async with Peer() as old, Peer() as new:
+        async with ScriptedServer() as old, ScriptedServer() as new:
             told = Told(old)
             _, link = await call(old)
             if failed:
@@ -195,7 +195,7 @@
             before = told.watch.watch
             assert told.watch.move(new.address) and told.watch.watch is before  # until the module asks
             told.watch.subscribe()
-            assert failed or await link.ended()
+            assert failed or await link.wait_closed()
             first, link = await call(new)
             assert "after=41&" in first
             told.watch.subscribe()
--- a/tests/test_net_host.py
+++ b/tests/test_net_host.py
@@ -17,11 +17,11 @@
 from tests.loopback import (
     HIT,
     MISS,
-    PATIENCE,
     SETTINGS,
+    TIMEOUT_S,
     Link,
-    Peer,
-    Router,
+    RouterHarness,
+    ScriptedServer,
     book,
     command,
     http,
@@ -38,7 +38,7 @@
 
 def test_a_hit_is_passed_on() -> None:
     async def scenario() -> None:
-        async with Router() as router:
+        async with RouterHarness() as router:
             client = await router.client()
             client.write(read("r1", "key", "c=read,t=x,d=2000,h=90,size=7"))
             cache = await router.cache()
@@ -55,8 +55,8 @@
 
 def test_a_miss_is_fetched_from_the_origin() -> None:
     async def scenario() -> None:
-        async with Router() as router:
-            client, cache = await router.begun()
+        async with RouterHarness() as router:
+            client, cache = await router.start_read()
             cache.write(MISS)
             origin = await router.origin.link()
             first, headers, _ = await origin.http()
@@ -69,7 +69,7 @@
 
 def test_a_write_goes_to_the_origin_whole() -> None:
     async def scenario() -> None:
-        async with Router() as router:
+        async with RouterHarness() as router:
             client = await router.client()
             client.write(book("r1", value=b"two\r\nlines"))
             origin = await router.origin.link()
@@ -86,7 +86,7 @@
     """Answered in another order, each client would take another request's value for its own."""
 
     async def scenario() -> None:
-        async with Router() as router:
+        async with RouterHarness() as router:
             client = await router.client()
             client.write(read("r1") + read("r2") + command("PING"))
             links = [await router.cache(), await router.cache()]
@@ -96,7 +96,7 @@
             by_request[b"r1"].write(HIT)
             assert [await client.resp() for _ in range(3)] == [b"value", b"later", b"PONG"]
 
-    async def by_request_ended(router: Router, name: str) -> None:
+    async def by_request_ended(router: RouterHarness, name: str) -> None:
         while not router.host.requests[name].closed:
             await asyncio.sleep(0)
 
@@ -105,8 +105,8 @@
 
 def test_a_busy_server_is_left_for_another() -> None:
     async def scenario() -> None:
-        async with Router() as router:
-            client, first = await router.begun()
+        async with RouterHarness() as router:
+            client, first = await router.start_read()
             first.reset()
             second = await router.cache()
             assert (await second.resp())[2] == b"r1"
@@ -120,10 +120,10 @@
     """Cache servers would go on working for nobody."""
 
     async def scenario() -> None:
-        async with Router() as router:
-            client, cache = await router.begun()
+        async with RouterHarness() as router:
+            client, cache = await router.start_read()
             client.close()
-            assert await cache.ended()
+            assert await cache.wait_closed()
             assert not router.host.router.held and not router.host.router.attempts
 
     run(scenario)
@@ -133,13 +133,13 @@
     """A client that is not answered in time counts its request as lost."""
 
     async def scenario() -> None:
-        async with Router() as router:
+        async with RouterHarness() as router:
             loop = asyncio.get_running_loop()
             sent = loop.time()
-            client, cache = await router.begun(info="c=read,t=x,d=150")
+            client, cache = await router.start_read(info="c=read,t=x,d=150")
             assert error(await client.resp()).startswith("BUSY")
             assert loop.time() - sent >= 0.15 - hosts.DEADLINE_MARGIN - 0.001
-            assert await cache.ended() and not router.host.requests
+            assert await cache.wait_closed() and not router.host.requests
 
     run(scenario)
 
@@ -147,7 +147,7 @@
 @pytest.mark.parametrize("info", ["c=unheard-of,d=900", "t=x,d=900"])
 def test_an_unknown_class_is_taken_as_unsafe_and_refused(info: str) -> None:
     async def scenario() -> None:
-        async with Router() as router:
+        async with RouterHarness() as router:
             client = await router.client()
             client.write(read("r1", info=info))
             assert error(await client.resp()).startswith("BUSY")
@@ -186,7 +186,7 @@
 @pytest.mark.parametrize(("sent", "said"), BAD_COMMANDS)
 def test_a_bad_command_gets_an_error_and_no_more(sent: bytes, said: str) -> None:
     async def scenario() -> None:
-        async with Router() as router:
+        async with RouterHarness() as router:
             client = await router.client()
             client.write(sent + command("PING"))
             assert said in error(await client.resp())
@@ -213,11 +213,11 @@
     """Anything read after it might be a part of a value, carried out as a command."""
 
     async def scenario() -> None:
-        async with Router() as router:
+        async with RouterHarness() as router:
             client, other = await router.client(), await router.client()
             client.write(sent)
             assert error(await client.resp()).startswith("ERR")
-            assert await client.ended()
+            assert await client.wait_closed()
             other.write(command("PING"))
             assert await other.resp() == b"PONG"
 
@@ -228,7 +228,7 @@
     """It would be held in memory until the router is killed for it."""
 
     async def scenario() -> None:
-        async with Router() as router:
+        async with RouterHarness() as router:
             client = await router.client()
             client.write(b"*4\r\n$900000000\r\n" + b"x" * MAX_COMMAND)
             assert "too long" in error(await client.resp())
@@ -244,7 +244,7 @@
     monkeypatch.setattr(clients, "PATIENCE", 0.2)
 
     async def scenario() -> None:
-        async with Router() as router:
+        async with RouterHarness() as router:
             peer, client = await router.client(), await router.client()
             client.write(command("PING"))
             assert await client.resp() == b"PONG"
@@ -258,7 +258,7 @@
 
 def test_more_commands_than_are_held_are_read_later() -> None:
     async def scenario() -> None:
-        async with Router() as router:
+        async with RouterHarness() as router:
             client = await router.client()
             names = [f"r{n}" for n in range(3 * MAX_PIPELINED)]
             client.write(b"".join(read(n, info="c=unheard-of,d=900") for n in names) + read("last"))
@@ -276,7 +276,7 @@
     """One client could make the router hold requests without end."""
 
     async def scenario() -> None:
-        async with Router() as router:
+        async with RouterHarness() as router:
             client = await router.client()
             client.write(b"".join(read(f"r{n}") for n in range(2 * MAX_PIPELINED)))
             while len(router.host.requests) < MAX_PIPELINED:
@@ -291,7 +291,7 @@
     """Its client is gone, and what is taken after that would be worked on to its deadline for nobody."""
 
     async def scenario() -> None:
-        async with Router() as router:
+        async with RouterHarness() as router:
             client = await router.client()
             client.write(b"".join(read(f"r{n}") for n in range(2 * MAX_PIPELINED)))
             while len(router.host.requests) < MAX_PIPELINED:
@@ -310,9 +310,9 @@
 
 def test_an_id_in_use_is_not_taken_again() -> None:
     async def scenario() -> None:
-        async with Router() as router:
+        async with RouterHarness() as router:
             other = await router.client()
-            client, cache = await router.begun()
+            client, cache = await router.start_read()
             other.write(read("r1"))
             assert "in use" in error(await other.resp())
             cache.write(HIT)
@@ -323,7 +323,7 @@
 
 def test_ping_is_answered_once_a_server_is_known() -> None:
     async def scenario() -> None:
-        async with Router(listed=False) as router:
+        async with RouterHarness(listed=False) as router:
             client = await router.client()
             client.write(command("PING"))
             assert "no cache server" in error(await client.resp())
@@ -338,14 +338,14 @@
     """One request that the code can't handle would take the whole router, and all it has taken, along."""
 
     async def scenario() -> None:
-        async with Router() as router:
+        async with RouterHarness() as router:
             other = await router.client()
-            first, cache = await router.begun()
+            first, cache = await router.start_read()
             with monkeypatch.context() as patch:
                 patch.setattr(router.host, "take", None)
                 first.write(read("r2"))
-                assert await first.ended()
-            assert await cache.ended() and not router.host.router.held
+                assert await first.wait_closed()
+            assert await cache.wait_closed() and not router.host.router.held
             other.write(command("PING"))
             assert await other.resp() == b"PONG"
 
@@ -356,11 +356,11 @@
     """Past the limit on descriptors nothing works: no attempt and no list. Idle clients make room."""
 
     async def scenario() -> None:
-        async with Router(clients=2) as router:
+        async with RouterHarness(clients=2) as router:
             idle = await router.client()
-            busy, cache = await router.begun()
+            busy, cache = await router.start_read()
             third = await router.client()
-            assert await idle.ended()
+            assert await idle.wait_closed()
             third.write(command("PING"))
             assert await third.resp() == b"PONG"
             cache.write(HIT)
@@ -373,14 +373,14 @@
     """Closed for its own sake, it would take its first request along."""
 
     async def scenario() -> None:
-        async with Router(clients=1) as router:
-            busy, cache = await router.begun()
+        async with RouterHarness(clients=1) as router:
+            busy, cache = await router.start_read()
             newest = await router.client()
             newest.write(command("PING"))
             assert await newest.resp() == b"PONG"
             cache.write(HIT)
             assert await busy.resp() == b"value"
-            assert await busy.ended()
+            assert await busy.wait_closed()
             newest.write(command("PING"))
             assert await newest.resp() == b"PONG"
 
@@ -391,7 +391,7 @@
     """Out of descriptors, a loop that ended would leave the router deaf, and one that spun would stop it."""
 
     async def scenario() -> None:
-        async with Router() as router:
+        async with RouterHarness() as router:
             accept, calls = socket.socket.accept, 0
 
             def failing(listener: socket.socket) -> tuple[socket.socket, object]:
@@ -416,7 +416,7 @@
     """The router would be killed while it waits for a client that never goes on."""
 
     async def scenario() -> None:
-        async with Router() as router:
+        async with RouterHarness() as router:
             client = await router.client()
             client.write(command("PING") + b"*4\r\n$5\r\nC.G")
             assert await client.resp() == b"PONG"
@@ -431,17 +431,17 @@
     """What a router had taken and not answered when it ended is lost."""
 
     async def scenario() -> None:
-        async with Router() as router:
+        async with RouterHarness() as router:
             idle = await router.client()
-            busy, cache = await router.begun()
+            busy, cache = await router.start_read()
             stop = asyncio.create_task(router.listener.stop(0.05, 5.0))
             late = await router.client()  # connections still come
             late.write(command("PING"))
             assert await late.resp() == b"PONG"
-            assert await idle.ended() and await late.ended() and not stop.done()
+            assert await idle.wait_closed() and await late.wait_closed() and not stop.done()
             cache.write(HIT)
             assert await busy.resp() == b"value"
-            assert await busy.ended()
+            assert await busy.wait_closed()
             await stop
             with pytest.raises(ConnectionRefusedError):
                 await asyncio.open_connection(*busy.writer.get_extra_info("peername"))
@@ -452,7 +452,7 @@
 # A client that leaves: nothing of its requests may go out any more
 
 
-async def left(router: Router) -> None:
+async def left(router: RouterHarness) -> None:
     """Wait until the router has noticed that no client is there."""
     while router.listener.connections:
         await asyncio.sleep(0.01)
@@ -464,7 +464,7 @@
     """With as many commands waiting as are held, asyncio tells of no end, and all went on to be worked on."""
 
     async def scenario() -> None:
-        async with Router() as router:
+        async with RouterHarness() as router:
             client = await router.client()
             long = "c=read,t=x,d=60000"
             client.write(b"".join(read(f"r{n}", info=long) for n in range(MAX_PIPELINED + 1)))
@@ -480,8 +480,8 @@
     """Nothing more is taken from it while earlier answers are owed; what it sends meanwhile is not kept."""
 
     async def scenario() -> None:
-        async with Router() as router:
-            client, cache = await router.begun()
+        async with RouterHarness() as router:
+            client, cache = await router.start_read()
             client.write(b"PING\r\n" + b"x" * 100_000)
             while not (connection := next(iter(router.listener.connections))).ending:
                 await asyncio.sleep(0)
@@ -489,7 +489,7 @@
             await client.writer.drain()
             client.close()
             await left(router)
-            assert await cache.ended()
+            assert await cache.wait_closed()
             assert connection.incomplete + len(connection.unparsed) <= 100_000 + 65_536
 
     run(scenario)
@@ -499,7 +499,7 @@
     """Its connection is not lost before they are written, which may be never."""
 
     async def scenario() -> None:
-        async with Router(replace(SETTINGS, second_copies=False)) as router:
+        async with RouterHarness(replace(SETTINGS, second_copies=False)) as router:
             client = await router.client()
             client.writer.transport.pause_reading()  # type: ignore[attr-defined]
             client.write(command("PING"))
@@ -512,7 +512,7 @@
             client.write(b"".join(read(f"r{n}", info="c=read,t=x,d=60000") for n in range(count)))
             value = b"*3\r\n$%d\r\n%b\r\n$3\r\nhit\r\n$-1\r\n" % (size, b"v" * size)
 
-            async def serve(peer: Peer) -> None:
+            async def serve(peer: ScriptedServer) -> None:
                 while True:
                     link = await peer.link()
                     name = (await link.resp())[2]
@@ -536,7 +536,7 @@
     """Both came at once, after a wait among those not accepted yet."""
 
     async def scenario() -> None:
-        async with Router() as router:
+        async with RouterHarness() as router:
             gone = socket.create_connection(router.listener.socket.getsockname())
             gone.sendall(read("r1"))
             gone.close()
@@ -557,7 +557,7 @@
     """It went on to write the request of a client that had left, where attempts may not be cancelled."""
 
     async def scenario() -> None:
-        async with Router(replace(SETTINGS, may_cancel=may_cancel)) as router:
+        async with RouterHarness(replace(SETTINGS, may_cancel=may_cancel)) as router:
             loop, gate = asyncio.get_running_loop(), asyncio.Event()
             client = await router.client()
             connect = loop.create_connection
@@ -589,7 +589,7 @@
     """The request was written whenever the dial ended, whatever the list had told since."""
 
     async def scenario() -> None:
-        async with Router() as router:
+        async with RouterHarness() as router:
             loop, gate = asyncio.get_running_loop(), asyncio.Event()
             router.list("a")
             client = await router.client()
@@ -631,9 +631,9 @@
     """The system had accepted them: closed with the listener they were reset, and what they sent was lost."""
 
     async def scenario() -> None:
-        async with Router() as router:
+        async with RouterHarness() as router:
             where = router.listener.socket.getsockname()
-            connected = [socket.create_connection(where, timeout=PATIENCE) for _ in range(3)]
+            connected = [socket.create_connection(where, timeout=TIMEOUT_S) for _ in range(3)]
             for client in connected:  # the loop has not run since: none is accepted yet
                 client.sendall(command("PING"))
             await router.listener.stop(0.0, 5.0)
@@ -649,20 +649,20 @@
     """What a hung server had was lost when its deadline came after the end of the process."""
 
     async def scenario() -> None:
-        async with Router(replace(SETTINGS, may_cancel=may_cancel, second_copies=False)) as router:
-            client, cache = await router.begun(info="c=read,t=x,d=60000")
+        async with RouterHarness(replace(SETTINGS, may_cancel=may_cancel, second_copies=False)) as router:
+            client, cache = await router.start_read(info="c=read,t=x,d=60000")
             writer = await router.client()
             writer.write(book("w1").replace(b"d=2000", b"d=9000"))
             await (await router.origin.link()).http()
             router.host.ending(0.1)
             assert error(await client.resp()).startswith("BUSY")
             assert error(await writer.resp()).startswith("BUSY")
-            assert await cache.ended()
+            assert await cache.wait_closed()
             client.write(read("r2"))  # sent on a connection that is still open
             assert error(await client.resp()).startswith("BUSY")
             assert not router.host.requests and not router.host.router.held
             await router.listener.stop(0.0, 5.0)
-            assert await client.ended() and await writer.ended()
+            assert await client.wait_closed() and await writer.wait_closed()
 
     run(scenario)
 
@@ -674,7 +674,7 @@
     """Entered again, the module would go on with a state that the first call has not finished."""
 
     async def scenario() -> None:
-        async with Router(listed=False) as router:
+        async with RouterHarness(listed=False) as router:
             depth: list[int] = []
 
             def handle(now: float, event: api.Event) -> list[api.Action]:
@@ -696,7 +696,7 @@
 
 def test_sends_of_no_use_are_moot_and_answers_come_once(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
-        async with Router(replace(SETTINGS, max_attempts=1)) as router:
+        async with RouterHarness(replace(SETTINGS, max_attempts=1)) as router:
             seen: list[api.Outcome] = []
 
             def handle(now: float, event: api.Event) -> list[api.Action]:
@@ -723,7 +723,7 @@
 
 def test_an_attempt_times_out_at_its_own_limit(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
-        async with Router() as router:
+        async with RouterHarness() as router:
 
             def handle(now: float, event: api.Event) -> list[api.Action]:
                 if isinstance(event, api.Request):
--- a/tests/test_net_peers.py
+++ b/tests/test_net_peers.py
@@ -8,7 +8,7 @@
 from brackenwalk import interface as api
 from brackenwalk.demand import Demand
 from brackenwalk.net.peers import Peers
-from tests.loopback import SETTINGS, Router, run, spelled
+from tests.loopback import SETTINGS, RouterHarness, format_address, run
 
 
 def endpoint() -> socket.socket:
@@ -22,7 +22,7 @@
     async def scenario() -> None:
         heard: asyncio.Queue[bytes] = asyncio.Queue()
         with endpoint() as peer, endpoint() as stranger:
-            everyone = spelled(peer.getsockname())
+            everyone = format_address(peer.getsockname())
             peers = Peers("127.0.0.1:0", [everyone], everyone, heard.put_nowait)
             await peers.start()
             assert peers.transport is not None
@@ -46,7 +46,7 @@
 def test_a_socket_that_does_not_open_leaves_the_router_without_peers() -> None:
     async def scenario() -> None:
         with endpoint() as taken:
-            address = spelled(taken.getsockname())
+            address = format_address(taken.getsockname())
             peers = Peers(address, [], address, lambda content: None)
             await peers.start()
             assert peers.transport is None
@@ -59,7 +59,7 @@
 
 def test_the_host_hands_messages_to_the_module_and_back() -> None:
     async def scenario() -> None:
-        async with Router() as router:
+        async with RouterHarness() as router:
             told = Demand()
             told.add(5)
             router.host.peer_heard(told.message([], now=router.host.clock.now()))
--- a/tests/test_net_pool.py
+++ b/tests/test_net_pool.py
@@ -15,7 +15,7 @@
 from brackenwalk.net.origin import OriginConnection
 from brackenwalk.net.pool import Exchange, Pool
 from brackenwalk.net.servers import CacheConnection
-from tests.loopback import HIT, MISS, Link, Peer, http, run, spelled
+from tests.loopback import HIT, MISS, Link, ScriptedServer, format_address, http, run
 
 GET = Command(b"C.GET", b"k", b"r1", {"c": "read", "d": "900"}, 900)
 HUGE = Command(b"C.SET", b"k", b"r1", {"c": "book", "d": "900"}, 900, b"x" * 32_000_000)
@@ -29,7 +29,7 @@
         self.pool = pool
         self.results: asyncio.Queue[tuple[Status, bytes]] = asyncio.Queue()
 
-    async def begun(self, peer: Peer) -> Link:
+    async def begun(self, peer: ScriptedServer) -> Link:
         """An attempt that the peer has in hand."""
         self.start(peer.address)
         link = await peer.link()
@@ -60,7 +60,7 @@
 )
 def test_answers_of_a_cache_server(answer: bytes, status: Status, value: bytes) -> None:
     async def scenario() -> None:
-        async with Peer() as peer:
+        async with ScriptedServer() as peer:
             ends = caches()
             ends.start(peer.address)
             link = await peer.link()
@@ -94,12 +94,12 @@
     """What follows on such a connection can't be told from the answer to a later request."""
 
     async def scenario() -> None:
-        async with Peer() as peer:
+        async with ScriptedServer() as peer:
             ends = caches()
             link = await ends.begun(peer)
             link.write(answer)
             assert await ends.end() == (Status.ERROR, b"")
-            assert await link.ended() and not ends.pool.connections
+            assert await link.wait_closed() and not ends.pool.connections
 
     run(scenario)
 
@@ -114,12 +114,12 @@
     """
 
     async def scenario() -> None:
-        async with Peer() as peer:
+        async with ScriptedServer() as peer:
             ends = caches()
             link = await ends.begun(peer)
             link.write(HIT + more)
             assert await ends.end() == (Status.OK, b"value")
-            assert await link.ended() and not ends.pool.idle
+            assert await link.wait_closed() and not ends.pool.idle
 
     run(scenario)
 
@@ -129,13 +129,13 @@
     """A second answer comes a few milliseconds after the first."""
 
     async def scenario() -> None:
-        async with Peer() as peer:
+        async with ScriptedServer() as peer:
             ends = caches()
             link = await ends.begun(peer)
             link.write(HIT)
             assert await ends.end() == (Status.OK, b"value")
             link.write(more)
-            assert await link.ended() and not ends.pool.idle and not ends.pool.connections
+            assert await link.wait_closed() and not ends.pool.idle and not ends.pool.connections
 
     run(scenario)
 
@@ -143,7 +143,7 @@
 @pytest.mark.parametrize("how", ["close", "reset"])
 def test_a_break_after_the_last_byte_may_have_run(how: str) -> None:
     async def scenario() -> None:
-        async with Peer() as peer:
+        async with ScriptedServer() as peer:
             ends = caches()
             link = await ends.begun(peer)
             getattr(link, how)()
@@ -156,7 +156,7 @@
     """Counted as a reset, an unsafe request could not be tried elsewhere though it can't have run."""
 
     async def scenario() -> None:
-        async with Peer() as peer:
+        async with ScriptedServer() as peer:
             ends = caches()
             ends.start(peer.address, HUGE)
             link = await peer.link()
@@ -169,7 +169,7 @@
 
 def test_a_request_written_in_pieces_may_have_run_once_all_are() -> None:
     async def scenario() -> None:
-        async with Peer() as peer:
+        async with ScriptedServer() as peer:
             ends = caches()
             ends.start(peer.address, HUGE)
             link = await peer.link()
@@ -182,7 +182,7 @@
 
 def test_a_refused_connection_never_ran() -> None:
     async def scenario() -> None:
-        async with Peer() as peer:
+        async with ScriptedServer() as peer:
             address = peer.address
         ends = caches()
         ends.start(address)
@@ -201,7 +201,7 @@
             full.listen(0)  # room for one, which `first` takes; the next gets no answer
             first.connect(full.getsockname())
             ends = caches(dial=0.05)
-            ends.start(spelled(full.getsockname()))
+            ends.start(format_address(full.getsockname()))
             assert await ends.end() == (Status.CONNECT_FAILED, b"")
 
     run(scenario)
@@ -211,14 +211,14 @@
     """It came milliseconds after the first, and the next request had been written by then."""
 
     async def scenario() -> None:
-        async with Peer() as peer:
+        async with ScriptedServer() as peer:
             ends = caches()
             first = await ends.begun(peer)
             first.write(HIT)
             assert await ends.end() == (Status.OK, b"value")
             second = await ends.begun(peer)  # on a connection of its own: the first one rests
             first.write(HIT.replace(b"value", b"other"))
-            assert await first.ended() and ends.results.empty()
+            assert await first.wait_closed() and ends.results.empty()
             second.write(HIT)
             assert await ends.end() == (Status.OK, b"value")
             ends.pool.close()
@@ -228,7 +228,7 @@
 
 def test_a_dial_counts_in_the_time_that_the_server_is_told(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
-        async with Peer() as peer:
+        async with ScriptedServer() as peer:
             loop, ends = asyncio.get_running_loop(), caches()
             connect = loop.create_connection
 
@@ -253,7 +253,7 @@
         loop = asyncio.get_running_loop()
         with socket.create_server(("127.0.0.1", 0)) as server:
             server.setblocking(False)
-            address = spelled(server.getsockname())
+            address = format_address(server.getsockname())
             ends = caches()
             ends.start(address)
             first, _ = await loop.sock_accept(server)
@@ -275,12 +275,12 @@
     """One used just as the server closes it loses the request that is written to it."""
 
     async def scenario() -> None:
-        async with Peer() as peer:
+        async with ScriptedServer() as peer:
             ends = caches(idle=pools.IDLE_MARGIN + 0.01)
             link = await ends.begun(peer)
             link.write(HIT)
             assert await ends.end() == (Status.OK, b"value")
-            assert await link.ended() and not ends.pool.connections
+            assert await link.wait_closed() and not ends.pool.connections
 
     run(scenario)
 
@@ -289,20 +289,20 @@
     """Left open, the server would go on working, and its late answer would meet the next request."""
 
     async def scenario() -> None:
-        async with Peer() as peer:
+        async with ScriptedServer() as peer:
             ends = caches()
             exchange = ends.start(peer.address)
             link = await peer.link()
             await link.resp()
             exchange.abandon()
-            assert await link.ended() and ends.results.empty()
+            assert await link.wait_closed() and ends.results.empty()
 
     run(scenario)
 
 
 def test_giving_up_while_dialling_sends_nothing() -> None:
     async def scenario() -> None:
-        async with Peer() as peer:
+        async with ScriptedServer() as peer:
             ends = caches()
             exchange = ends.start(peer.address)
             exchange.abandon()
@@ -321,7 +321,7 @@
     """Without it a burst takes the descriptors that clients need, and nobody can connect any more."""
 
     async def scenario() -> None:
-        async with Peer() as one, Peer() as other:
+        async with ScriptedServer() as one, ScriptedServer() as other:
             ends = caches(budget=1)
             ends.start(one.address)
             link = await one.link()
@@ -331,14 +331,16 @@
             link.write(HIT)
             assert await ends.end() == (Status.OK, b"value")
             ends.start(other.address)  # an idle one makes room
-            assert await link.ended()
+            assert await link.wait_closed()
             await (await other.link()).resp()
             ends.pool.close()
 
     run(scenario)
 
 
-async def asked(peer: Peer, ends: Ends, command: Command = GET) -> tuple[Link, str, dict[str, str], bytes]:
+async def asked(
+    peer: ScriptedServer, ends: Ends, command: Command = GET
+) -> tuple[Link, str, dict[str, str], bytes]:
     ends.start(peer.address, command)
     link = await peer.link()
     return link, *await link.http()
@@ -363,7 +365,7 @@
 )
 def test_answers_of_the_origin(answer: bytes, status: Status, value: bytes) -> None:
     async def scenario() -> None:
-        async with Peer() as peer:
+        async with ScriptedServer() as peer:
             ends = Ends(Pool(OriginConnection, 8, 1.0, 60.0))
             link, first, headers, _ = await asked(peer, ends)
             assert first == "GET /k HTTP/1.1"
@@ -399,13 +401,13 @@
 )
 def test_malformed_and_broken_answers_of_the_origin(answer: bytes, status: Status) -> None:
     async def scenario() -> None:
-        async with Peer() as peer:
+        async with ScriptedServer() as peer:
             ends = Ends(Pool(OriginConnection, 8, 1.0, 60.0))
             link, *_ = await asked(peer, ends)
             link.write(answer)
             link.close()
             assert (await ends.end())[0] is status
-            assert await link.ended() and not ends.pool.idle
+            assert await link.wait_closed() and not ends.pool.idle
 
     run(scenario)
 
@@ -431,7 +433,7 @@
     with socket.create_server(("127.0.0.1", 0)) as server:
         server.setblocking(False)
         ends = Ends(Pool(Counting, 8, 1.0, 60.0))
-        ends.start(spelled(server.getsockname()))
+        ends.start(format_address(server.getsockname()))
         peer, _ = await loop.sock_accept(server)
         request = b""
         while not request.endswith(b"\r\n\r\n"):
@@ -509,7 +511,7 @@
     """A key that spells another path would fetch, or overwrite, what nobody asked for."""
 
     async def scenario() -> None:
-        async with Peer() as peer:
+        async with ScriptedServer() as peer:
             ends = Ends(Pool(OriginConnection, 8, 1.0, 60.0))
             put = Command(b"C.SET", key, b"r1", {"d": "900"}, 900, b"slot")
             _, first, _, body = await asked(peer, ends, put)
@@ -527,10 +529,10 @@
     """Left without an outcome it would hold its request until the deadline."""
 
     async def scenario() -> None:
-        async with Peer() as peer:
+        async with ScriptedServer() as peer:
             ends = Ends(Pool(OriginConnection, 8, 1.0, 60.0))
             ends.start(peer.address, Command(b"C.GET", b"k", b"r1", {"x": "a\r\nb", "d": "9"}, 9))
             assert await ends.end() == (Status.CONNECT_FAILED, b"")
-            assert await (await peer.link()).ended() and not ends.pool.connections
+            assert await (await peer.link()).wait_closed() and not ends.pool.connections
 
     run(scenario)
--- a/tests/test_net_turns.py
+++ b/tests/test_net_turns.py
@@ -14,7 +14,7 @@
 from brackenwalk import interface as api
 from brackenwalk.net import listener
 from brackenwalk.net.clients import PIECE, READ_PER_TURN, ClientConnection
-from tests.loopback import HIT, Link, Router, command, read, run
+from tests.loopback import HIT, Link, RouterHarness, command, read, run
 from tests.test_terms_clients import NEVER, Roomy, at_once, leave_at_once, paused, turns
 
 FLOOD = 600  # commands that one client sends at once
@@ -35,7 +35,7 @@
         monkeypatch.setattr(ClientConnection, "_take", noted)
 
 
-async def flooded(router: Router, takes: Takes) -> Link:
+async def flooded(router: RouterHarness, takes: Takes) -> Link:
     """A client that has sent a flood, of which the first commands have just been taken."""
     flooding = await router.client()
     await turns()
@@ -49,7 +49,7 @@
     """All that had come was taken in one turn: what others had sent, and all that was due, was late by it."""
 
     async def scenario() -> None:
-        async with Router() as router:
+        async with RouterHarness() as router:
             flooding, other = await router.client(), await router.client()
             await turns()
             takes = Takes(monkeypatch)
@@ -65,7 +65,7 @@
 
 def test_no_more_of_a_flood_is_taken_once_its_client_has_left(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
-        async with Router() as router:
+        async with RouterHarness() as router:
             takes = Takes(monkeypatch)
             leave_at_once(await flooded(router, takes))
             await turns()
@@ -78,7 +78,7 @@
     """Each answer would otherwise have a turn's commands taken, all of them in the same turn."""
 
     async def scenario() -> None:
-        async with Router() as router:
+        async with RouterHarness() as router:
             takes = Takes(monkeypatch)
             flooding = await flooded(router, takes)
             assert len(takes.order) <= READ_PER_TURN
@@ -96,7 +96,7 @@
     value = bytes(i % 251 for i in range(size))
 
     async def scenario() -> None:
-        async with Router() as router:
+        async with RouterHarness() as router:
             client = await router.client()
             client.write(command("C.SET", "k", "w1", "c=book,t=x,d=2000,k=5c0f", value) + read("r1"))
             origin = await router.origin.link()
@@ -133,7 +133,7 @@
                 await asyncio.sleep(0)
             await turns()
             assert not router.origins.connections and not router.host.router.held
-            assert router.origin.links.empty() or await (await router.origin.link()).ended()
+            assert router.origin.links.empty() or await (await router.origin.link()).wait_closed()
 
     run(scenario)
 
@@ -145,7 +145,7 @@
     """The final answer that came behind it was lost."""
 
     async def scenario() -> None:
-        async with Router() as router:
+        async with RouterHarness() as router:
 
             def handle(now: float, event: api.Event) -> list[api.Action]:
                 if isinstance(event, api.Request):
@@ -168,7 +168,7 @@
     """Events that waited behind it were left to the next one, and its own request had no answer."""
 
     async def scenario() -> None:
-        async with Router() as router:
+        async with RouterHarness() as router:
             handle = router.host.router.handle
 
             def faulty(now: float, event: api.Event) -> list[api.Action]:
@@ -192,7 +192,7 @@
 
 def test_a_timer_that_faults_leaves_the_next_one_its_turn(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
-        async with Router() as router:
+        async with RouterHarness() as router:
             seen: list[str] = []
 
             def handle(now: float, event: api.Event) -> list[api.Action]:
--- a/tests/test_terms_clients.py
+++ b/tests/test_terms_clients.py
@@ -20,7 +20,20 @@
 
 from brackenwalk.net import clients, listener
 from brackenwalk.net.clients import MAX_PIPELINED, ClientConnection
-from tests.loopback import HIT, MISS, SETTINGS, Link, Peer, Router, book, command, http, read, run, spelled
+from tests.loopback import (
+    HIT,
+    MISS,
+    SETTINGS,
+    Link,
+    RouterHarness,
+    ScriptedServer,
+    book,
+    command,
+    format_address,
+    http,
+    read,
+    run,
+)
 from tests.test_main import GOOD, launched, listening
 from tests.test_net_discovery import LINE
 from tests.test_wirehost import CONF
@@ -62,7 +75,7 @@
 class Raw:
     """A client whose every byte and end is seen as the system tells it."""
 
-    def __init__(self, router: Router, room: int | None = None) -> None:
+    def __init__(self, router: RouterHarness, room: int | None = None) -> None:
         self.socket = socket.socket()
         if room is not None:
             self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, room)
@@ -92,20 +105,20 @@
         self.socket.close()
 
 
-def unused(router: Router) -> bool:
+def unused(router: RouterHarness) -> bool:
     """Whether no server has a connection that no test has taken in hand, and none is being made."""
     peers = (*router.caches.values(), router.origin)
     dials = router.servers.dials | router.origins.dials
     return all(p.links.empty() for p in peers) and not dials
 
 
-async def paused(router: Router, commands: int = 2 * MAX_PIPELINED) -> tuple[Link, dict[bytes, Link]]:
+async def paused(router: RouterHarness, commands: int = 2 * MAX_PIPELINED) -> tuple[Link, dict[bytes, Link]]:
     """A client that is not read from, with more commands than are taken, and the attempts of those."""
     client = await router.client()
     client.write(b"".join(read(f"r{n}", f"k{n}", LONG) for n in range(commands)))
     out: dict[bytes, Link] = {}
 
-    async def collect(peer: Peer) -> None:
+    async def collect(peer: ScriptedServer) -> None:
         while True:
             link = await peer.link()
             out[(await link.resp())[2]] = link
@@ -126,7 +139,7 @@
 ROOMY = replace(SETTINGS, second_copies=False)
 
 
-class Roomy(Router):
+class Roomy(RouterHarness):
     """With places at the caches for all that one client may have out, and a copy of none."""
 
     def __init__(self, settings: Any = ROOMY) -> None:
@@ -220,7 +233,7 @@
     """A kept connection has the request written at once, before the loop comes to the client's end."""
 
     async def scenario() -> None:
-        async with Router(replace(ROOMY, may_cancel=False)) as router:
+        async with RouterHarness(replace(ROOMY, may_cancel=False)) as router:
             # kept connections everywhere: a write is served by the origin, reads by either cache
             writer = await router.client()
             writer.write(book("w1"))
@@ -264,7 +277,7 @@
     """What the system holds back is lost with a connection that is closed over unread bytes."""
 
     async def scenario() -> None:
-        async with Router() as router:
+        async with RouterHarness() as router:
             client = await router.client()
             client.write(command("PING"))
             assert await client.resp() == b"PONG"
@@ -282,7 +295,7 @@
     """The connection was reset over it. Its client sends it again, so it must not be sent on here."""
 
     async def scenario() -> None:
-        async with Router(clients=8) as router:
+        async with RouterHarness(clients=8) as router:
             with Raw(router) as client:
                 await client.shown()
                 (connection,) = router.listener.connections
@@ -322,7 +335,7 @@
     """Closed over bytes that were not read yet, the connection was reset."""
 
     async def scenario() -> None:
-        async with Router() as router:
+        async with RouterHarness() as router:
             with Raw(router) as peer:
                 sent = asyncio.create_task(
                     asyncio.get_running_loop().sock_sendall(peer.socket, junk + b"x" * (1 << 19))
@@ -341,7 +354,7 @@
     """It had not all gone out when the router ended; the close that followed reset what was left."""
 
     async def scenario() -> None:
-        async with Router() as router:
+        async with RouterHarness() as router:
             with Raw(router, room=4096) as client:
                 client.send(read("r1"))
                 cache = await router.cache()
@@ -369,7 +382,7 @@
     """Waiting for it, the router would be killed, and connections would fill the descriptors."""
 
     async def scenario() -> None:
-        async with Router() as router:
+        async with RouterHarness() as router:
             skip = Skip(monkeypatch)
             with Raw(router) as client:
                 await client.shown()
@@ -385,7 +398,7 @@
     """It could keep the router busy with what nobody wants."""
 
     async def scenario() -> None:
-        async with Router() as router:
+        async with RouterHarness() as router:
             with Raw(router) as peer:
                 peer.send(b"PING\r\n")
                 assert (await peer.heard()).startswith(b"-ERR ")
@@ -400,7 +413,7 @@
     """Each holds a descriptor, and clients that come would find none."""
 
     async def scenario() -> None:
-        async with Router(clients=8) as router:
+        async with RouterHarness(clients=8) as router:
             listener, peers = router.listener, []
             for _ in range(20):
                 peers.append(await Raw(router).shown())
@@ -425,7 +438,7 @@
 
 @asynccontextmanager
 async def program(
-    tmp_path: Path, caches: list[Peer], discovery: str, limit: int
+    tmp_path: Path, caches: list[ScriptedServer], discovery: str, limit: int
 ) -> AsyncIterator[tuple[asyncio.subprocess.Process, tuple[str, int]]]:
     """The real program in a process that may hold so many descriptors, and where it listens."""
     lines = [
@@ -449,7 +462,7 @@
         await process.wait()
 
 
-async def serve(peer: Peer) -> None:
+async def serve(peer: ScriptedServer) -> None:
     """Answer every read on every connection."""
 
     async def answer(link: Link) -> None:
@@ -505,8 +518,8 @@
         loop = asyncio.get_running_loop()
         discovery = socket.socket()  # bound all the time, so that no client gets its port; refuses calls
         discovery.bind(("127.0.0.1", 0))
-        down = spelled(discovery.getsockname())
-        async with Peer() as a, Peer() as b:
+        down = format_address(discovery.getsockname())
+        async with ScriptedServer() as a, ScriptedServer() as b:
             servers = [asyncio.create_task(serve(p)) for p in (a, b)]
             async with program(tmp_path, [a, b], down, limit) as (process, address):
                 failed: list[bytes] = []
@@ -516,7 +529,7 @@
                     client = Link(*await asyncio.open_connection(*address))
                     client.write(read(f"r{i}", f"k{i}", "c=read,d=6000"))
                     assert await client.resp() == b"value"
-                back = Peer()
+                back = ScriptedServer()
                 back.server = await asyncio.start_server(back._accept, sock=discovery)
                 assert "after=1&" in (await (await back.link()).http())[0]
                 process.send_signal(signal.SIGTERM)
@@ -540,7 +553,7 @@
     """All were accepted at once then, past the limit, and what rested was not closed before the very end."""
 
     async def scenario() -> None:
-        async with Router(clients=8) as router:
+        async with RouterHarness(clients=8) as router:
             listener, most = router.listener, 0
             made = ClientConnection.connection_made
 
@@ -570,7 +583,7 @@
     """The first to come was closed though it had just been used, and its next request crossed the close."""
 
     async def scenario() -> None:
-        async with Router(clients=8) as router:
+        async with RouterHarness(clients=8) as router:
             first, second, *others = [await Raw(router).shown() for _ in range(7)]
             await first.shown()
             newest = await Raw(router).shown()
@@ -587,7 +600,7 @@
     """Closed again and again in one turn of the loop, it would never come to its end."""
 
     async def scenario() -> None:
-        async with Router(clients=8) as router:
+        async with RouterHarness(clients=8) as router:
             skip = Skip(monkeypatch)
             rests, half = await Raw(router).shown(), await Raw(router).shown()
             half.send(b"*4\r\n")
--- a/tests/test_terms_discovery.py
+++ b/tests/test_terms_discovery.py
@@ -19,7 +19,7 @@
 from brackenwalk.net.pool import address_of
 from brackenwalk.policy import Router
 from tests.driver import entry, settings
-from tests.loopback import Link, Peer, command, http, run, spelled
+from tests.loopback import Link, ScriptedServer, command, format_address, http, run
 from tests.test_main import GOOD, launched, listening, ready
 from tests.test_net_discovery import LINE, Told, call, message
 from tests.test_wirehost import CONF
@@ -252,8 +252,8 @@
             for filler in fillers:
                 filler.setblocking(False)
                 filler.connect_ex(full.getsockname())
-            peer = Peer()
-            peer.address = spelled(full.getsockname())
+            peer = ScriptedServer()
+            peer.address = format_address(full.getsockname())
             began = time.monotonic()
             assert await Told(peer).news.get() is None
             assert time.monotonic() - began < 2.0
@@ -270,7 +270,7 @@
 
     async def scenario() -> None:
         monkeypatch.setattr(discoveries, "DIAL", 0.1, raising=False)
-        async with Peer() as peer:
+        async with ScriptedServer() as peer:
             told = Told(peer)
             _, link = await call(peer)
             await asyncio.sleep(0.3)
@@ -284,7 +284,7 @@
 WHOLE = "GET /registry/instances HTTP/1.1"
 
 
-async def whole_list_is_asked_for(peer: Peer, told: Told, link: Link) -> None:
+async def whole_list_is_asked_for(peer: ScriptedServer, told: Told, link: Link) -> None:
     """The answer to the watch has a lower version: what became of the list is not in it."""
     link.write(http("200 OK", message(7, False, {**LINE, "status": "terminating"})))
     first, link = await call(peer)
@@ -299,7 +299,7 @@
     """The list known at the start was told by one that had counted further."""
 
     async def scenario() -> None:
-        async with Peer() as peer:
+        async with ScriptedServer() as peer:
             told = Told(peer)
             first, link = await call(peer)
             assert "after=41&" in first
@@ -314,7 +314,7 @@
     """Its first watch waited for three seconds, and the next ones for versions that it never had."""
 
     async def scenario() -> None:
-        async with Peer() as old, Peer() as new:
+        async with ScriptedServer() as old, ScriptedServer() as new:
             told = Told(old)
             await call(old)
             assert told.watch.move(new.address)
@@ -337,7 +337,7 @@
     """Two hundred whole lists are not asked for without need."""
 
     async def scenario() -> None:
-        async with Peer() as old, Peer() as new:
+        async with ScriptedServer() as old, ScriptedServer() as new:
             told = Told(old)
             await call(old)
             told.watch.move(new.address)
@@ -353,7 +353,7 @@
 
 def test_a_whole_list_of_a_lower_version_is_taken_as_it_is() -> None:
     async def scenario() -> None:
-        async with Peer() as peer:
+        async with ScriptedServer() as peer:
             told = Told(peer)
             _, link = await call(peer)
             link.write(http("200 OK", message(7, True, LINE)))
@@ -369,7 +369,7 @@
     """Changes taken for the whole list would drop servers that are well; the list held goes on to hold."""
 
     async def scenario() -> None:
-        async with Peer() as peer:
+        async with ScriptedServer() as peer:
             told = Told(peer)
             _, link = await call(peer)
             link.write(http("200 OK", message(7, False)))
@@ -413,7 +413,7 @@
     async def scenario() -> None:
         with socket.socket() as down:
             down.bind(("127.0.0.1", 0))  # calls are refused until somebody listens
-            discovery = spelled(down.getsockname())
+            discovery = format_address(down.getsockname())
             empty = {"index": 0, "snapshot": True, "endpoints": []}
             async with started(tmp_path / "c.json", discovery, empty, membershipMode=mode) as process:
                 client = Link(*await asyncio.open_connection(*await listening(process.stderr)))
@@ -421,7 +421,7 @@
                 while b"out of reach, 3 in a row" not in await process.stderr.readline():
                     client.write(command("PING"))
                     assert isinstance(await client.resp(), Exception)
-                peer = Peer()
+                peer = ScriptedServer()
                 began = time.monotonic()
                 server = await asyncio.start_server(peer._accept, sock=down)
                 _, link = await call(peer)
@@ -443,9 +443,9 @@
             down.bind(("127.0.0.1", 0))
             old = {"index": 10**9, "snapshot": True, "endpoints": servers(300)}
             began = time.monotonic()
-            discovery = spelled(down.getsockname())
+            discovery = format_address(down.getsockname())
             async with started(tmp_path / "c.json", discovery, old, siblings=230, me=229) as process:
-                await ready(address_of(spelled(await listening(process.stderr))))
+                await ready(address_of(format_address(await listening(process.stderr))))
                 assert time.monotonic() - began < 6.0
 
     run(scenario)
