--- a/brackenwalk/ring.py
+++ b/brackenwalk/ring.py
@@ -1,4 +1,4 @@
-"""The ring: weighted virtual nodes, and the walk clockwise over them."""
+"""Consistent-hash ring of weighted virtual nodes, and the walk clockwise over it."""
 
 from __future__ import annotations
 
@@ -15,88 +15,88 @@
 
 
 def ring_hash(text: str) -> tuple[int, ...]:
-    """Positions on the ring: a key takes the first, a server all of them."""
+    """Return the eight 64-bit ring positions of a text: a key uses the first, a virtual-node name all."""
     return struct.unpack(">8Q", hashlib.blake2b(text.encode()).digest())
 
 
 def virtual_nodes(server: str, count: int) -> tuple[int, ...]:
-    """The first virtual nodes of a server; more weight adds to them and moves none."""
+    """Return the positions of a server's first `count` virtual nodes; a higher count keeps the lower ones."""
     return tuple(p for j in range(math.ceil(count / 8)) for p in ring_hash(f"{server}-vnode-{j}"))[:count]
 
 
-def without(items: T, indices: list[int]) -> T:
-    """All items but those at some indices, which ascend."""
-    left, at = items[:0], 0
+def remove_at(items: T, indices: list[int]) -> T:
+    """Return a copy of the items without those at the given ascending indices."""
+    kept, start = items[:0], 0
     for index in indices:
-        left += items[at:index]
-        at = index + 1
-    left += items[at:]
-    return left
+        kept += items[start:index]
+        start = index + 1
+    kept += items[start:]
+    return kept
 
 
-def merged(items: T, places: list[int], others: list[Any]) -> T:
-    """Items with others put in, each before the item at its place; the places ascend."""
-    both, at = items[:0], 0
-    for place, other in zip(places, others, strict=True):
-        both += items[at:place]
-        both.append(other)
-        at = place
-    both += items[at:]
-    return both
+def insert_at(items: T, indices: list[int], inserted: list[Any]) -> T:
+    """Return a copy of the items with others inserted, each before the item at its (ascending) index."""
+    merged, start = items[:0], 0
+    for index, item in zip(indices, inserted, strict=True):
+        merged += items[start:index]
+        merged.append(item)
+        start = index
+    merged += items[start:]
+    return merged
 
 
 class Ring(Generic[S]):
-    """Who owns which points, each with a rank among its owner's."""
+    """Virtual nodes sorted by position, each with its owner and its rank among the owner's nodes."""
 
     def __init__(self) -> None:
-        self.nodes_by_owner: dict[S, array[int]] = {}
-        self.previous_nodes: dict[S, array[int]] = {}  # since the ring was settled, and what it held then
-        self.positions: array[int] = array("Q")  # in the order of the walk, as are owners and ranks
+        self.nodes_by_owner: dict[S, array[int]] = {}  # positions, including changes not applied yet
+        self.previous_nodes: dict[S, array[int]] = {}  # what the owners changed since then had applied
+        self.positions: array[int] = array("Q")  # ascending; owners and ranks are parallel to it
         self.owners: list[S] = []
-        self.ranks: array[float] = array("f")
+        self.ranks: array[float] = array("f")  # from 0 to 1: (index among the owner's nodes + 0.5) / count
 
     def set_virtual_nodes(self, owner: S, name: str, count: int) -> None:
-        """Give an owner its points; `apply_changes` makes them count."""
-        held = self.nodes_by_owner.get(owner, array("Q"))
-        if count == len(held):
+        """Set how many virtual nodes an owner has; takes effect with `apply_changes`."""
+        current = self.nodes_by_owner.get(owner, array("Q"))
+        if count == len(current):
             return
-        self.previous_nodes.setdefault(owner, held)
+        self.previous_nodes.setdefault(owner, current)
         self.nodes_by_owner[owner] = array("Q", virtual_nodes(name, count))
         if not count:
             del self.nodes_by_owner[owner]
 
     def apply_changes(self) -> None:
-        """Take what was placed into the order of the walk; what stays between is copied in whole pieces."""
+        """Merge the changed owners' nodes into the sorted arrays; unchanged runs are copied as slices."""
         if not self.previous_nodes:
             return
-        leave = sorted(self._index(p, owner) for owner, held in self.previous_nodes.items() for p in held)
-        positions = without(self.positions, leave)
-        points, owners, ranks = array("Q"), list[S](), array("f")
+        removed = sorted(self._index(p, owner) for owner, nodes in self.previous_nodes.items() for p in nodes)
+        positions = remove_at(self.positions, removed)
+        added, owners, ranks = array("Q"), list[S](), array("f")
         for owner in self.previous_nodes:
-            held = self.nodes_by_owner.get(owner, array("Q"))
-            points += held
-            owners += [owner] * len(held)
-            ranks.extend((j + 0.5) / len(held) for j in range(len(held)))
-        order = sorted(range(len(points)), key=points.__getitem__)
-        places = [bisect_left(positions, points[i]) for i in order]
-        self.positions = merged(positions, places, [points[i] for i in order])
-        self.owners = merged(without(self.owners, leave), places, [owners[i] for i in order])
-        self.ranks = merged(without(self.ranks, leave), places, [ranks[i] for i in order])
+            nodes = self.nodes_by_owner.get(owner, array("Q"))
+            added += nodes
+            owners += [owner] * len(nodes)
+            ranks.extend((j + 0.5) / len(nodes) for j in range(len(nodes)))
+        order = sorted(range(len(added)), key=added.__getitem__)
+        indices = [bisect_left(positions, added[i]) for i in order]
+        self.positions = insert_at(positions, indices, [added[i] for i in order])
+        self.owners = insert_at(remove_at(self.owners, removed), indices, [owners[i] for i in order])
+        self.ranks = insert_at(remove_at(self.ranks, removed), indices, [ranks[i] for i in order])
         self.previous_nodes.clear()
 
     def _index(self, position: int, owner: S) -> int:
-        """Where an owner's point stands; two owners' points may fall together."""
+        """Return the index of an owner's node; nodes of two owners may share a position."""
         index = bisect_left(self.positions, position)
         while self.owners[index] != owner:
             index += 1
         return index
 
     def owner_at(self, position: int) -> S:
-        """The owner of the first point from a position on; IndexError where there is none."""
+        """Return the owner of the first node from a position on, wrapping round; needs at least one node."""
         return self.owners[bisect_left(self.positions, position) % len(self.positions)]
 
-    def clockwise(self, position: int, most: int) -> Iterator[tuple[S, float]]:
-        """The owners of the points from a position on, and the rank of each point."""
-        start, points = bisect_left(self.positions, position), len(self.positions)
-        for step in range(start, start + min(most, points)):
-            yield self.owners[step % points], self.ranks[step % points]
+    def clockwise(self, position: int, limit: int) -> Iterator[tuple[S, float]]:
+        """Yield owner and rank of each node from a position on, wrapping round, for at most `limit` nodes."""
+        start, count = bisect_left(self.positions, position), len(self.positions)
+        for step in range(start, start + min(limit, count)):
+            yield self.owners[step % count], self.ranks[step % count]
