--- a/brackenwalk/demand.py
+++ b/brackenwalk/demand.py
@@ -1,6 +1,6 @@
-"""What the fleet is asked for: each key's share of all reads, own ones and those that peers tell of.
+"""Estimates each key's share of all reads, from own requests and from the counts that peers send.
 
-One of many routers sees a hot key a few times in seconds; all of them together see it at once.
+One of many routers sees a hot key only a few times within seconds; all of them together see it at once.
 """
 
 from __future__ import annotations
@@ -12,177 +12,176 @@
 from collections.abc import Callable, Iterator
 from typing import TypeVar
 
-HOT_KEY_SHARE = 0.25  # of a server's mean room: keys of less stay where they are
-RECENT = 0.125  # of the memory that tells what turned hot just now
-HISTORY_REQUESTS = 128.0  # remembered for each server: a key that just counts as hot is seen thirty times
-DIGEST_BYTES = 4  # bytes of a digest, which a garbled message does not match
-FORM = b"told 2"  # of the message: routers of another version, for which it would say something else, pass it
-HEADER = struct.Struct(">HHB")  # when it was sent, requests in all, and how many lines there are
-STAMP = 0.01  # seconds, the unit of the time sent, which begins anew after eleven minutes
-ROUND = 1 << 16
-SERVER_ID = struct.Struct(">I")  # of a server that ails, behind the lines
+HOT_KEY_SHARE = 0.25  # of a server's mean capacity: keys with a lower load are not split
+RECENT_SHARE = 0.125  # of the history: the short window that shows keys that have just turned hot
+HISTORY_REQUESTS = 128.0  # window per server, in which a key at the threshold of hot is seen thirty times
+DIGEST_BYTES = 4  # a damaged message does not match its digest
+FORMAT_ID = b"told 2"  # part of the digest, so that routers of a version with another format skip the message
+HEADER = struct.Struct(">HHB")  # time sent, requests in all, number of key entries
+TIMESTAMP_UNIT_S = 0.01  # the 16-bit time sent wraps round after eleven minutes
+TIMESTAMP_RANGE = 1 << 16
+SERVER_ID = struct.Struct(">I")  # of an unhealthy server; these follow the key entries
 MAX_SERVERS = 24
-KEY_ENTRY = struct.Struct(">IB")  # a key and how often it was asked for
+KEY_ENTRY = struct.Struct(">IB")  # a key's hash and its number of requests
 MAX_COUNT = 255
-LATER = 1024  # keys that wait for a place, at most
-MAX_KEYS = 30  # with these and the names a message is no longer than the 256 bytes that a datagram may have
+MAX_DEFERRED_KEYS = 1024  # sorted by count; keys beyond that are dropped
+MAX_KEYS = 30  # with MAX_SERVERS this fills the 256 bytes that a datagram may have
 
 S = TypeVar("S")
 
 
 def with_digest(body: bytes) -> bytes:
-    """A message's body behind its digest."""
-    return hashlib.blake2b(body, digest_size=DIGEST_BYTES, person=FORM).digest() + body
+    """Return a message's body with its digest in front."""
+    return hashlib.blake2b(body, digest_size=DIGEST_BYTES, person=FORMAT_ID).digest() + body
 
 
 def timestamp_of(now: float) -> int:
-    """The time that a message tells."""
-    return int(now / STAMP) % ROUND
+    """Return a time in seconds as the 16 bits that a message carries."""
+    return int(now / TIMESTAMP_UNIT_S) % TIMESTAMP_RANGE
 
 
-def written(total: int, keys: list[tuple[int, int]], ailing: list[int], now: float) -> bytes:
-    """A message: how many requests there were, keys and how often they were asked for, servers that ail."""
-    lines = [KEY_ENTRY.pack(key, min(MAX_COUNT, times)) for key, times in keys]
-    names = [SERVER_ID.pack(name) for name in ailing[:MAX_SERVERS]]
-    head = HEADER.pack(timestamp_of(now), total, len(lines))
-    return with_digest(b"".join((head, *lines, *names))) if lines or names else b""
+def encode_message(total: int, keys: list[tuple[int, int]], unhealthy: list[int], now: float) -> bytes:
+    """Encode the total of requests, keys with their counts, and unhealthy servers; empty if neither."""
+    entries = [KEY_ENTRY.pack(key, min(MAX_COUNT, count)) for key, count in keys]
+    servers = [SERVER_ID.pack(server) for server in unhealthy[:MAX_SERVERS]]
+    header = HEADER.pack(timestamp_of(now), total, len(entries))
+    return with_digest(b"".join((header, *entries, *servers))) if entries or servers else b""
 
 
-class Counts:
-    """How often each key was asked for, as far back as a number of requests."""
+class DecayingCounts:
+    """Request counts by key over a window of a number of requests; older ones are halved again and again."""
 
-    def __init__(self, memory: float) -> None:
-        self.memory = memory  # for each server
+    def __init__(self, window: float) -> None:
+        self.window = window  # requests per server
         self.counts: Counter[int] = Counter()
         self.total = 0.0
 
-    def fade(self, servers: int) -> None:
-        """Forget half of all that was counted, again and again until no more than the memory is left."""
-        while self.total > self.memory * servers:
+    def decay(self, servers: int) -> None:
+        """Halve all counts until their total is within the window."""
+        while self.total > self.window * servers:
             self.counts = Counter({k: n // 2 for k, n in self.counts.items() if n > 1})
             self.total /= 2
 
     def share(self, key: int) -> float:
-        """A key's share of what was counted: the whole of it while nothing else is known."""
+        """Return a key's share of the requests counted: 1 while nothing else is known."""
         return max(1, self.counts[key]) / max(1.0, self.total)
 
 
 class Demand:
-    """How often each key was asked for lately."""
-
-    def __init__(self, told: float = 1.0, fresh: float = math.inf) -> None:
-        self.fresh = fresh  # seconds after which a message that was late on its way is news no more
-        self.invalid = self.stale = 0  # messages that changed nothing
-        # as far back in time whatever part peers tell
-        self.history, self.recent = Counts(HISTORY_REQUESTS * told), Counts(HISTORY_REQUESTS * RECENT * told)
+    """Recent requests by key, own ones and those of peers, and the messages that exchange them."""
+
+    def __init__(self, sent_share: float = 1.0, max_age: float = math.inf) -> None:
+        self.max_age = max_age  # seconds after which a message delayed in the network is ignored
+        self.invalid = self.stale = 0  # messages ignored
+        self.history, self.recent = (
+            DecayingCounts(HISTORY_REQUESTS * sent_share),  # to span the same time whatever share peers send
+            DecayingCounts(HISTORY_REQUESTS * RECENT_SHARE * sent_share),
+        )
         self.unsent: Counter[int] = Counter()  # own requests since the last message
-        self.deferred: Counter[int] = Counter()  # what earlier messages had no place for
+        self.deferred: Counter[int] = Counter()  # counts that earlier messages had no room for
 
     def add(self, key: int) -> None:
-        """Count an own request for a key, named by 32 bits of its hash."""
-        for kept in (self.history, self.recent):
-            kept.counts[key] += 1
-            kept.total += 1
+        """Count an own request for a key, given as 32 bits of its hash."""
+        for window in (self.history, self.recent):
+            window.counts[key] += 1
+            window.total += 1
         self.unsent[key] += 1
 
     def share(self, key: int) -> float:
-        """The most that a key may be of all requests: the short memory knows what turned hot just now."""
+        """Return the highest estimate of a key's share: the short window shows what has just turned hot."""
         return max(self.history.share(key), self.recent.share(key))
 
-    def message_size(self, names: int) -> int:
-        """Bytes that a message of all that is untold would have."""
-        lines = min(MAX_KEYS, len(self.unsent) + len(self.deferred))
-        return DIGEST_BYTES + HEADER.size + lines * KEY_ENTRY.size + min(MAX_SERVERS, names) * SERVER_ID.size
-
-    def next_message(self, ailing: list[int], told: bool = True, now: float = 0.0) -> bytes:
-        """What peers have not been told yet, the keys asked for most before others; empty if nothing.
-
-        A key met twice that finds no place is for a later message. Of requests not `told` nothing is kept.
-        """
-        untold, self.unsent = self.unsent, Counter()
-        if not told:
-            return written(0, [], ailing, now)
-        total = min(0xFFFF, untold.total())
-        untold.update(self.deferred)
-        order = untold.most_common(LATER)
-        self.deferred = Counter({key: times for key, times in order[MAX_KEYS:] if times > 1})
-        return written(total, order[:MAX_KEYS], ailing, now)
+    def message_size(self, servers: int) -> int:
+        """Return the bytes that a message of everything unsent would have, with a number of servers."""
+        keys = min(MAX_KEYS, len(self.unsent) + len(self.deferred))
+        return DIGEST_BYTES + HEADER.size + keys * KEY_ENTRY.size + min(MAX_SERVERS, servers) * SERVER_ID.size
+
+    def next_message(self, unhealthy: list[int], with_keys: bool = True, now: float = 0.0) -> bytes:
+        """Encode what peers have not been sent yet, the most requested keys first; empty if nothing."""
+        counts, self.unsent = self.unsent, Counter()
+        if not with_keys:  # the counts are dropped, not deferred
+            return encode_message(0, [], unhealthy, now)
+        total = min(0xFFFF, counts.total())
+        counts.update(self.deferred)
+        order = counts.most_common(MAX_DEFERRED_KEYS)
+        self.deferred = Counter({k: n for k, n in order[MAX_KEYS:] if n > 1})  # single requests are dropped
+        return encode_message(total, order[:MAX_KEYS], unhealthy, now)
 
     def receive(self, message: bytes, now: float = 0.0) -> set[int]:
-        """Count what a peer tells, and name the servers it finds ailing.
+        """Add a peer's counts, and return the ids of the servers that it reports as unhealthy.
 
-        A message that is garbled or came too late changes nothing and is counted.
+        Invalid messages and those that are too old are ignored, but counted.
         """
         body = message[DIGEST_BYTES:]
         if len(body) < HEADER.size or with_digest(body) != message:
             self.invalid += 1
             return set()
-        stamp, total, count = HEADER.unpack_from(body)
+        sent_at, total, count = HEADER.unpack_from(body)
         end = HEADER.size + count * KEY_ENTRY.size
         if len(body) < end or (len(body) - end) % SERVER_ID.size:
             self.invalid += 1
             return set()
-        # all machines read one clock; what seems to come from just ahead of it is as new as can be
-        age = (timestamp_of(now) - stamp + ROUND // 2) % ROUND - ROUND // 2
-        if abs(age) * STAMP > self.fresh:
+        # the machines' clocks are synchronized; a time slightly ahead of ours is as good as the present
+        age = (timestamp_of(now) - sent_at + TIMESTAMP_RANGE // 2) % TIMESTAMP_RANGE - TIMESTAMP_RANGE // 2
+        if abs(age) * TIMESTAMP_UNIT_S > self.max_age:
             self.stale += 1
             return set()
-        lines = list(KEY_ENTRY.iter_unpack(body[HEADER.size : end]))
-        for kept in (self.history, self.recent):
-            kept.total += total
-            for key, times in lines:
-                kept.counts[key] += times
-        return {name for (name,) in SERVER_ID.iter_unpack(body[end:])}
+        entries = list(KEY_ENTRY.iter_unpack(body[HEADER.size : end]))
+        for window in (self.history, self.recent):
+            window.total += total
+            for key, times in entries:
+                window.counts[key] += times
+        return {server for (server,) in SERVER_ID.iter_unpack(body[end:])}
 
     def split_hot_keys(
         self,
-        fair: dict[S, float],
-        bound: float,
+        fair_shares: dict[S, float],
+        load_bound: float,
         clockwise: Callable[[int], Iterator[S]],
-        bears: Callable[[int, S], float],
-        whole: Callable[[int], S | None] = lambda position: None,
+        max_part: Callable[[int, S], float],
+        sole_server: Callable[[int], S | None] = lambda position: None,
     ) -> dict[int, dict[S, float]]:
-        """Where hot keys go, the hottest first: each fills what others leave of its servers, clockwise.
+        """Split hot keys among servers, the hottest first: each fills the free capacity of servers clockwise.
 
-        A server's room is its fair share of all requests times the bound, and it takes no more of a key than
-        the part of it that it bears. Portions are shares of all requests as well. `whole` names the server
-        that bears all of what is met first from a position on, if that is known without a walk.
+        A server's capacity is its fair share of all requests times the bound; of one key it takes `max_part`
+        at most. Returns for each hot key the share of all requests that each server takes. `sole_server`
+        returns the server that takes a key at a position as a whole, if that is known without a walk.
         """
-        self.history.fade(len(fair))
-        self.recent.fade(len(fair))
-        total = max(self.history.total, len(fair))
-        shares = {k: (n - 1) / total for k, n in self.history.counts.items() if n > 1}  # twice may be chance
+        self.history.decay(len(fair_shares))
+        self.recent.decay(len(fair_shares))
+        total = max(self.history.total, len(fair_shares))
+        shares = {k: (n - 1) / total for k, n in self.history.counts.items() if n > 1}  # two may be chance
         rest = 1 - sum(shares.values())
-        left = {s: f * (bound - rest) for s, f in fair.items()}
-        least = HOT_KEY_SHARE * bound * sum(fair.values()) / len(fair)
-        own: dict[int, dict[S, float]] = {}  # what hot keys have of servers before they are shared out
+        free = {s: f * (load_bound - rest) for s, f in fair_shares.items()}
+        threshold = HOT_KEY_SHARE * load_bound * sum(fair_shares.values()) / len(fair_shares)
+        unsplit: dict[int, dict[S, float]] = {}  # what each server has of the hot keys before they are split
         for key, share in shares.items():
-            if share <= least and (only := whole(key << 32)) is not None:
-                left[only] -= share
+            if share <= threshold and (only := sole_server(key << 32)) is not None:
+                free[only] -= share
                 continue
-            over = share
+            left = share
             for server in clockwise(key << 32):
-                part = min(over, share * bears(key, server))
-                left[server] -= part
-                over -= part
-                if share > least:
-                    own.setdefault(key, {})[server] = part
-                if over <= 0:
+                part = min(left, share * max_part(key, server))
+                free[server] -= part
+                left -= part
+                if share > threshold:
+                    unsplit.setdefault(key, {})[server] = part
+                if left <= 0:
                     break
         portions: dict[int, dict[S, float]] = {}
-        for share, key in sorted(((shares[k], k) for k in own), reverse=True):
-            for server, part in own[key].items():
-                left[server] += part
+        for share, key in sorted(((shares[k], k) for k in unsplit), reverse=True):
+            for server, part in unsplit[key].items():
+                free[server] += part
             taken = portions[key] = {}
-            over = share
+            left = share
             for server in clockwise(key << 32):
-                taken[server] = max(0.0, min(over, left[server], share * bears(key, server)))
-                left[server] -= taken[server]
-                over -= taken[server]
-                if over <= 0:
+                taken[server] = max(0.0, min(left, free[server], share * max_part(key, server)))
+                free[server] -= taken[server]
+                left -= taken[server]
+                if left <= 0:
                     break
-            # what finds no room is for all of them alike, but for a cold one, which bears no more
-            alike = {s: fair[s] for s in taken if bears(key, s) >= 1}
-            for server, f in alike.items():
-                taken[server] += max(0.0, over) * f / sum(alike.values())
+            # what finds no free capacity goes to the warm servers by fair share: cold ones take no more
+            warm = {s: fair_shares[s] for s in taken if max_part(key, s) >= 1}
+            for server, f in warm.items():
+                taken[server] += max(0.0, left) * f / sum(warm.values())
         return portions
