--- a/brackenwalk/gossip.py
+++ b/brackenwalk/gossip.py
@@ -1,6 +1,6 @@
-"""What a router tells its peers: which keys it was asked for, and which servers it finds ailing.
+"""Decides what a router sends to its peers and when: request counts by key, and unhealthy servers.
 
-Each message is heard by all, so what all of them tell has a bound of its own, whatever the size of the fleet.
+Every message reaches all peers, so the bytes that all routers send together are bounded for any fleet size.
 """
 
 from __future__ import annotations
@@ -11,53 +11,51 @@
 from brackenwalk.demand import MAX_SERVERS, Demand
 from brackenwalk.state import Server
 
-INTERVAL_FACTOR = 0.25  # shortest aims between two messages to the peers: a hot key is known well within one
-MAX_SENDERS = (
-    40  # routers whose requests tell what is hot; of more each tells a part, as each is heard by all
-)
-# bytes a second that each router hears of keys: of the 12 KB it has for control (docs/CAPACITY.md), less what
-# lists and ailing servers need
+INTERVAL_FACTOR = 0.25  # of the shortest aim, between two messages: a hot key is known well within that aim
+MAX_SENDERS = 40  # routers whose counts are sent in full; in a larger fleet each sends a share of its own
+# of key counts that each router may receive: the 12 KB/s for all control traffic (docs/CAPACITY.md) less what
+# lists and unhealthy servers need
 MAX_BYTES_PER_S = 10_000
-UDP_OVERHEAD_BYTES = 28  # bytes of the IP and UDP headers round a message
-MAX_AGE_FACTOR = 2.0  # shortest aims after which a message tells of what is over
+UDP_OVERHEAD_BYTES = 28  # IP and UDP headers of a datagram
+MAX_AGE_FACTOR = 2.0  # of the shortest aim, after which a message describes what is over
 
 
 class Gossip:
-    """The news that one router has for its peers, and when it is told."""
+    """The messages of one router to its peers, and their schedule; times are seconds."""
 
     def __init__(self, settings: api.Settings, chance: random.Random, now: float) -> None:
         self.settings, self.random = settings, chance
-        self.told = min(1.0, MAX_SENDERS / settings.siblings)  # part of own requests that peers are told of
-        self.pause = INTERVAL_FACTOR * settings.shortest_aim
-        self.demand = Demand(self.told, MAX_AGE_FACTOR * settings.shortest_aim)
-        self.unhealthy: dict[Server, None] = {}  # and peers not told yet
+        self.sent_share = min(1.0, MAX_SENDERS / settings.siblings)  # of own requests that peers are sent
+        self.interval = INTERVAL_FACTOR * settings.shortest_aim
+        self.demand = Demand(self.sent_share, MAX_AGE_FACTOR * settings.shortest_aim)
+        self.unhealthy: dict[Server, None] = {}  # not reported to peers yet, in the order found
         self.next_at = now
 
     def add_unhealthy(self, server: Server) -> None:
-        """A server ails, and no peer has told of it just now."""
+        """Report a server in the next message, as no peer has just done so."""
         self.unhealthy[server] = None
 
     def receive(self, content: bytes, now: float) -> set[int]:
-        """Take a peer's message; answers with the names of the servers that it finds ailing."""
+        """Take in a peer's message and return the ids of the servers that it reports as unhealthy."""
         return self.demand.receive(content, now)
 
     def remove_unhealthy(self, server: Server) -> None:
-        """A server has left the list, or a peer has told of it."""
+        """Do not report a server that has left the list or that a peer has reported."""
         self.unhealthy.pop(server, None)
 
     def due(self, now: float) -> bool:
-        """Whether it is time for a message on keys; the next is due a while later."""
+        """Return whether a message is due, and if so schedule the next one."""
         if now < self.next_at:
             return False
-        self.next_at = now + self.pause * self.random.uniform(0.5, 1.5)  # none in step
+        self.next_at = now + self.interval * self.random.uniform(0.5, 1.5)  # jitter keeps routers out of step
         return True
 
     def next_message(self, now: float) -> bytes:
-        """A message of at most 256 bytes, empty for none: what ails, and of keys what all may hear."""
+        """Return the next message, 0 to 256 bytes: unhealthy servers, and key counts as the bound permits."""
         size = UDP_OVERHEAD_BYTES + self.demand.message_size(len(self.unhealthy))
-        part = min(self.told, MAX_BYTES_PER_S * self.pause / (self.settings.siblings * size))
-        wanted = self.settings.peers and self.random.random() < part
-        told = list(self.unhealthy)[: MAX_SERVERS if self.settings.peers else 0]  # the rest is for the next
-        for server in told:
+        part = min(self.sent_share, MAX_BYTES_PER_S * self.interval / (self.settings.siblings * size))
+        with_keys = self.settings.peers and self.random.random() < part
+        sent = list(self.unhealthy)[: MAX_SERVERS if self.settings.peers else 0]  # others wait for the next
+        for server in sent:
             del self.unhealthy[server]
-        return self.demand.next_message([s.name for s in told], wanted, now)
+        return self.demand.next_message([s.name for s in sent], with_keys, now)
