--- a/tests/test_ring.py
+++ b/tests/test_ring.py
@@ -1,4 +1,4 @@
-"""Placement on the ring and the bounded walk, against values worked by hand from the design's formulas."""
+"""The ring and the bounded walk, against values worked out independently from the design's formulas."""
 
 import hashlib
 import time
@@ -29,17 +29,17 @@
     assert ring_hash("")[0] == 0x786A02F742015903
 
 
-def test_more_weight_adds_points_and_moves_none() -> None:
+def test_more_weight_adds_virtual_nodes_and_moves_none() -> None:
     assert virtual_nodes("s", 100)[:37] == virtual_nodes("s", 37)
 
 
 def primary_of(key: str, servers: dict[str, int]) -> str:
-    """The first point clockwise, by plain search."""
+    """The owner of the first virtual node clockwise, by linear search."""
     ring = sorted((p, s) for s, n in servers.items() for p in nodes_of(s, n))
     return next((s for p, s in ring if p >= positions_of(key)[0]), ring[0][1])
 
 
-def test_primary_is_first_point_clockwise() -> None:
+def test_primary_is_first_virtual_node_clockwise() -> None:
     d = Driver(settings())
     d.list(entry("a", weight=2), entry("b", weight=1), entry("c", weight=1))
     for n in range(200):
@@ -54,7 +54,7 @@
 
 @pytest.mark.parametrize("size", [10, 90, 300])
 def test_shares_of_the_ring_follow_the_weights(size: int) -> None:
-    """A fixed total of 150 points left most of a large fleet with one or two, or none."""
+    """A fixed total of 150 virtual nodes left most servers of a large fleet with one or two, or none."""
     d = Driver(settings())
     d.list(*(entry(f"s{i}", weight=1 + i % 2) for i in range(size)))
     ring = d.router.ring.positions
@@ -63,7 +63,7 @@
         share[owner.entry.server] += p - before
     for i, arc in enumerate(share.values()):
         fair = 2**64 * (1 + i % 2) / (size + size // 2)
-        assert 0.6 < arc / fair < 1.5  # about four standard deviations with 64 points
+        assert 0.6 < arc / fair < 1.5  # about four standard deviations with 64 nodes
 
 
 @pytest.mark.parametrize("size", [10, 90, 300])
@@ -76,11 +76,11 @@
     after = primaries(d, "b")
     moved = [k for k, s in enumerate(before) if s != after[k]]
     assert {before[k] for k in moved} == {f"s{size - 1}"} and len(moved) < 2 * 2000 / size
-    d.list(*reversed(everyone))  # nor does the order listed matter
+    d.list(*reversed(everyone))  # the order of the list does not matter either
     assert primaries(d, "c") == before
 
 
-def test_two_routers_agree_whatever_they_went_through() -> None:
+def test_routers_with_the_same_list_agree_whatever_lists_they_had_before() -> None:
     one, other = Driver(settings(), seed=1), Driver(settings(), seed=2)
     one.list(*(entry(n) for n in "abcd"))
     other.list(*(entry(n) for n in "dx"))
@@ -90,7 +90,7 @@
 
 
 def test_live_weights_move_no_keys() -> None:
-    """Weights that fall with load moved keys with every list, to servers that lacked them."""
+    """Weights that fall with load used to move keys with every list, to servers that had not cached them."""
     d = Driver(settings(live_weights=True))
     d.list(entry("a", kind="x"), entry("b", kind="x"), entry("c", kind="y", weight=2.0))
     before = primaries(d, "a")
@@ -101,7 +101,7 @@
 
 
 def test_a_cold_server_has_its_warm_up_share_of_keys_at_every_router() -> None:
-    """Budgets of each router, always letting one through, added up to an overload at hundreds of them."""
+    """Budgets per router always let one request through: hundreds of routers overloaded the server."""
     shares = []
     for age in (0.0, 5.0, 10.0):
         d = Driver(settings(ramp=10.0, cold_share=0.3))
@@ -113,9 +113,9 @@
 
 
 def test_cold_servers_take_no_more_of_the_ring_however_many_they_are() -> None:
-    """Half as much again as stated, and the arcs that other cold ones left: three times what they bear.
+    """Cold servers took 1.5 times their stated share, and other cold ones' arcs: three times their capacity.
 
-    Half as much again, below the multiple that fells them, is what they take while the warm are short.
+    1.5 times the stated share, below the overload multiple, is intended while warm servers are scarce.
     """
     d = Driver(settings(ramp=1e9, cold_share=0.1, fall_multiple=3.0))
     d.list(*(entry(f"s{i}") for i in range(8)), *(entry(f"cold{i}", since=d.now) for i in range(12)))
@@ -126,8 +126,8 @@
     assert cold == pytest.approx(1.5 * 12 / 20 * 0.1, abs=0.02)
 
 
-def test_a_hot_key_is_shared_out_also_while_most_servers_are_cold() -> None:
-    """Their full share was expected of cold servers, so no room was left anywhere, and the first took all."""
+def test_a_hot_key_is_split_also_while_most_servers_are_cold() -> None:
+    """Cold servers were planned with their full share, so no capacity was free and the first took the key."""
     d = Driver(settings(ramp=1e9, cold_share=0.1))
     d.list(*(entry(f"s{i}") for i in range(8)), *(entry(f"cold{i}", since=d.now) for i in range(12)))
     sent = []
@@ -138,8 +138,8 @@
     assert max(hot.count(s) for s in set(hot)) < 0.6 * len(hot)
 
 
-def test_a_list_that_moves_no_points_costs_no_sorting() -> None:
-    """Each change of one entry, and each whole list, sorted every point of the ring anew."""
+def test_a_list_that_changes_no_virtual_nodes_costs_no_sorting() -> None:
+    """Each change of one entry, and each full list, used to sort the whole ring again."""
     d = Driver(settings())
     entries = [entry(f"s{i}") for i in range(30)]
     d.list(*entries)
@@ -154,7 +154,7 @@
     assert list(d.router.ring.positions) == list(before) and d.router.ring.owners[-1] is last
 
 
-def test_weights_show_in_the_keys() -> None:
+def test_keys_follow_the_weights() -> None:
     d = Driver(settings())
     d.list(entry("big", weight=9), entry("small", weight=1))
     hits = [d.request(f"r{n}", key=f"k{n}", finish=True) for n in range(1000)]
@@ -168,7 +168,7 @@
 
 
 def test_hot_key_spills_clockwise() -> None:
-    """One key, never answered: its requests spread over the servers instead of piling on the first."""
+    """Unanswered requests for one key spread over the servers instead of all queueing at the first."""
     d = Driver(settings())
     d.list(*(entry(n) for n in "abcd"))
     sent = [walk(d, f"r{n}", "hot") for n in range(8)]
@@ -176,13 +176,13 @@
     assert sent[0] == primary_of("hot", dict.fromkeys("abcd", 128))
 
 
-def test_draining_servers_hold_no_points() -> None:
+def test_draining_servers_have_no_virtual_nodes() -> None:
     d = Driver(settings())
     d.list(entry("a"), entry("b", state=api.State.DRAINING))
     assert {d.request(f"r{n}", key=f"k{n}", finish=True) for n in range(50)} == {"a"}
 
 
-def test_origin_holds_no_points_and_gets_writes_and_misses() -> None:
+def test_origin_has_no_virtual_nodes_and_gets_writes_and_misses() -> None:
     d = Driver(settings(aside=True, origin_kind="origin"))
     d.list(entry("a"), entry("o", kind="origin"))
     assert d.request("w", key="k", write=True) == "o"
@@ -198,15 +198,15 @@
 
 
 def test_few_requests_do_not_split_a_key() -> None:
-    """Own counts near one tripped a plain cap by chance, and neighbours then both kept the key."""
+    """With one request or so in flight, a plain load cap was hit by chance, and two servers cached the key."""
     d = Driver(settings())
     d.list(*(entry(f"s{n}") for n in range(90)))
     assert len({walk(d, f"r{n}", "k") for n in range(2)}) == 1
 
 
 @pytest.mark.parametrize("cold", [False, True])
-def test_a_hot_key_spreads_over_as_few_servers_as_carry_it(cold: bool) -> None:
-    """One key with a fifth of all requests, at a router that never has two in flight at a server."""
+def test_a_hot_key_spreads_over_no_more_servers_than_needed(cold: bool) -> None:
+    """One key has a fifth of all requests, at a router that never has two in flight at one server."""
     d = Driver(settings())
     d.list(*(entry(f"s{i}", weight=2.0 if i % 2 else 1.0) for i in range(30)))
     first = d.request("first", key="hot", finish=True)
@@ -217,13 +217,13 @@
         d.now += 0.002
         sent.append(d.request(f"r{n}", key=f"k{n}" if n % 5 else "hot", finish=True))
     hot = sent[400::5]
-    assert 8 <= len(set(hot)) <= 18  # six fair shares, into the 0.45 or so that others leave of each server
+    assert 8 <= len(set(hot)) <= 18  # six fair shares, into the 0.45 or so that is free at each server
     assert hot.count(first) < (0.1 if cold else 0.3) * len(hot)
     assert sum(a == b for a, b in zip(sent, primaries(d, "x"), strict=True) if a) > 1000
 
 
 def test_a_cold_server_takes_no_spills() -> None:
-    """In a burst, what crowded neighbours could not take pushed over a server just started."""
+    """In a burst, requests that full neighbours could not take overloaded a server that had just started."""
     d = Driver(settings())
     d.list(*(entry(n) for n in "abc"), entry("d", since=d.now))
     for n in range(300):
@@ -234,7 +234,7 @@
 
 
 def test_the_walk_is_bounded() -> None:
-    """With every server out of the question the walk went round the whole ring for each request."""
+    """With no eligible server the walk used to visit the whole ring for each request."""
     d = Driver(settings())
     d.list(*(entry(f"s{i}") for i in range(90)))
     for s in d.router.servers.values():
@@ -247,7 +247,7 @@
 
 
 def test_a_cold_server_gets_less_while_answers_fail() -> None:
-    """In an overload clients retried all that failed, and the multiple pushed over servers just started."""
+    """In an overload, clients' retries multiplied the load and overloaded servers that had just started."""
     d = Driver(settings(cold_share=0.3, max_attempts=1))
     d.list(*(entry(n) for n in "abc"), entry("d", since=d.now))
     assert primaries(d, "a").count("d") > 80
@@ -260,25 +260,23 @@
 
 
 def test_routers_agree_which_small_keys_a_cold_server_has() -> None:
-    """By chance each small key was fetched from the origin for the cold server and for the next one too."""
+    """Split at random, each small key was fetched from the origin twice: for the cold server and the next."""
     sent = []
     for seed in (1, 2):
         d = Driver(settings(ramp=1e9, cold_share=0.3), seed=seed)
         d.list(*(entry(f"s{i}") for i in range(4)), entry("cold", since=d.now))
-        primaries(d, "a")  # to a router that knows nothing every key may be all there is
+        primaries(d, "a")  # without any counts every key may be all the demand
         sent.append(primaries(d, "b"))
         assert sent[-1] == primaries(d, "c") and sent[-1].count("cold") > 50
     assert sent[0] == sent[1]
 
 
-moves = st.lists(st.tuples(st.integers(0, 9), st.sampled_from([0, 0, 3, 8, 20])), min_size=1, max_size=8)
+changes = st.lists(st.tuples(st.integers(0, 9), st.sampled_from([0, 0, 3, 8, 20])), min_size=1, max_size=8)
 
 
 @hypothesis_settings(deadline=None, derandomize=True)
-@given(st.lists(moves, min_size=1, max_size=6))
-def test_a_ring_that_changed_step_by_step_is_the_one_built_at_once(
-    steps: list[list[tuple[int, int]]],
-) -> None:
+@given(st.lists(changes, min_size=1, max_size=6))
+def test_a_ring_changed_step_by_step_equals_one_built_at_once(steps: list[list[tuple[int, int]]]) -> None:
     ring: Ring[str] = Ring()
     now: dict[str, int] = {}
     for step in steps:
@@ -286,18 +284,18 @@
             now[f"s{owner}"] = count
             ring.set_virtual_nodes(f"s{owner}", f"s{owner}", count)
         ring.apply_changes()
-        points = sorted(
+        nodes = sorted(
             (p, owner, (j + 0.5) / count)
             for owner, count in now.items()
             for j, p in enumerate(virtual_nodes(owner, count))
         )
-        assert list(ring.positions) == [p for p, _, _ in points]
-        assert ring.owners == [owner for _, owner, _ in points]
-        assert list(ring.ranks) == pytest.approx([rank for _, _, rank in points])
+        assert list(ring.positions) == [p for p, _, _ in nodes]
+        assert ring.owners == [owner for _, owner, _ in nodes]
+        assert list(ring.ranks) == pytest.approx([rank for _, _, rank in nodes])
 
 
-def test_a_change_of_one_server_costs_little_of_what_the_whole_ring_does() -> None:
-    """With 930 servers each version of the list that moved one cost a third of what all together cost."""
+def test_a_change_of_one_server_costs_a_small_part_of_building_the_ring() -> None:
+    """With 930 servers, a list that changed one server cost a third of building the whole ring."""
 
     def seconds(*servers: int) -> float:
         for server in servers:
