--- a/tests/test_ring.py
+++ b/tests/test_ring.py
@@ -198,7 +198,7 @@
 
 
 def test_few_requests_do_not_split_a_key() -> None:
-    """With one request or so in flight, a plain load cap was hit by chance, and two servers cached the key."""
+    """With one request or so in flight a plain load cap was hit by chance, and two servers cached the key."""
     d = Driver(settings())
     d.list(*(entry(f"s{n}") for n in range(90)))
     assert len({walk(d, f"r{n}", "k") for n in range(2)}) == 1
