--- a/tests/test_demand.py
+++ b/tests/test_demand.py
@@ -1,4 +1,4 @@
-"""What routers tell each other of the keys asked for, and how hot keys are shared out by it."""
+"""The request counts that routers exchange, and how hot keys are split by them."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 SERVERS = [entry(f"s{i}") for i in range(20)]
 
 
-def told(*keys: int, times: int = 1) -> bytes:
+def message_of(*keys: int, times: int = 1) -> bytes:
     one = Demand()
     for key in keys:
         for _ in range(times):
@@ -22,20 +22,20 @@
     return one.next_message([])
 
 
-def shared(demand: Demand, **fair: float) -> dict[int, dict[str, float]]:
+def split(demand: Demand, **fair: float) -> dict[int, dict[str, float]]:
     return demand.split_hot_keys(fair, 1.25, lambda position: iter(fair), lambda key, server: 1.0)
 
 
-def test_a_message_tells_a_peer_what_was_asked_for_once() -> None:
+def test_a_message_sends_each_count_to_a_peer_once() -> None:
     one, other = Demand(), Demand()
     for key in (7, 7, 9):
         one.add(key)
     other.receive(one.next_message([]))
     assert other.history.counts == {7: 2, 9: 1} and other.history.total == 3
-    assert one.next_message([]) == b"" and other.next_message([]) == b""  # what was heard is not told on
+    assert one.next_message([]) == b"" and other.next_message([]) == b""  # what was received is not sent on
 
 
-def test_a_message_never_outgrows_a_datagram_and_tells_the_hottest_first() -> None:
+def test_a_message_never_outgrows_a_datagram_and_has_the_hottest_keys() -> None:
     one, other = Demand(), Demand()
     for key in (*range(1000), *[5] * 400, 6):
         one.add(key)
@@ -47,10 +47,10 @@
         and other.history.counts[5] == MAX_COUNT
         and other.history.counts[6] == 2
     )
-    assert other.history.total == 1401  # or the shares of those told would be too large
+    assert other.history.total == 1401  # of all keys, or the shares of those sent would be too large
 
 
-GARBLED = told(1, 2, 3)
+VALID = message_of(1, 2, 3)
 
 
 @pytest.mark.parametrize(
@@ -58,67 +58,67 @@
     [
         b"",
         b"\0" * 3,
-        GARBLED[:-1],
-        GARBLED + b"\0" * 5,
-        bytes([GARBLED[0] ^ 1]) + GARBLED[1:],
-        GARBLED[:-1] + bytes([GARBLED[-1] ^ 64]),
+        VALID[:-1],
+        VALID + b"\0" * 5,
+        bytes([VALID[0] ^ 1]) + VALID[1:],
+        VALID[:-1] + bytes([VALID[-1] ^ 64]),
         with_digest(b""),
         with_digest(b"\0"),
         with_digest(b"\0\1\2" + b"\0" * 9),
         with_digest(b"\0\1\0" + b"\0" * 3),
-        with_digest(b"\0\0\0\1\2" + b"\0" * 9),  # a line short
-        with_digest(b"\0\0\0\1\0" + b"\0" * 3),  # part of a name
+        with_digest(b"\0\0\0\1\2" + b"\0" * 9),  # a key entry is missing
+        with_digest(b"\0\0\0\1\0" + b"\0" * 3),  # a part of a server id
         b"\xff" * 256,
     ],
 )
-def test_a_garbled_message_changes_nothing(message: bytes) -> None:
+def test_an_invalid_message_changes_nothing(message: bytes) -> None:
     d = Driver(settings(peers=True))
     d.list(*SERVERS)
     assert d.feed(api.PeerMessage(message)) == []
     assert not d.router.demand.history.counts and not d.router.demand.history.total
 
 
-def test_what_is_remembered_stays_bounded() -> None:
+def test_the_history_stays_bounded() -> None:
     one = Demand()
     for start in range(0, 100_000, 40):
-        one.receive(told(*range(start, start + 40)))
-        shared(one, a=0.5, b=0.5)
+        one.receive(message_of(*range(start, start + 40)))
+        split(one, a=0.5, b=0.5)
     assert one.history.total <= 256 and len(one.history.counts) <= 300
 
 
-def test_hot_keys_fill_what_others_leave_of_a_server() -> None:
-    """A hot key took its (1 + epsilon) fair shares on top of all that the server had besides."""
+def test_hot_keys_fill_the_free_capacity_of_a_server() -> None:
+    """A hot key used to get (1 + epsilon) fair shares of a server on top of the server's other load."""
     one = Demand()
     for key, times in ((1, 60), (2, 30), (3, 20), (4, 90)):
         for _ in range(times):
             one.add(key << 8)
-    portions = shared(one, a=0.4, b=0.32, c=0.28)
+    portions = split(one, a=0.4, b=0.32, c=0.28)
     filled = {s: sum(p.get(s, 0.0) for p in portions.values()) for s in "abc"}
-    assert set(portions) == {1 << 8, 2 << 8, 4 << 8}  # the third, a tenth of all, stays where it is
+    assert set(portions) == {1 << 8, 2 << 8, 4 << 8}  # the third, a tenth of all, is not split
     assert filled["a"] == pytest.approx(0.5 - 0.095, abs=0.01) and filled["b"] == pytest.approx(0.4, abs=0.01)
-    assert sum(filled.values()) == pytest.approx((59 + 29 + 89) / 200)  # each met once might be chance
+    assert sum(filled.values()) == pytest.approx((59 + 29 + 89) / 200)  # a key's first request may be chance
 
 
-def asked(d: Driver, name: str, key: str) -> tuple[str | None, list[bytes]]:
-    """Where a request goes, and what peers are told meanwhile."""
+def ask(d: Driver, name: str, key: str) -> tuple[str | None, list[bytes]]:
+    """Return the server that a request goes to, and the messages to peers sent with it."""
     d.now += 0.01
     server = d.request(name, key=key)
-    told = [a.content for a in d.last if isinstance(a, api.Tell)]
+    sent = [a.content for a in d.last if isinstance(a, api.Tell)]
     d.ok(name)
-    return server, told
+    return server, sent
 
 
-def test_a_key_that_is_hot_at_all_routers_together_is_spread_by_each() -> None:
-    """Each of forty routers had seen it a few times only, and all sent it to one small server."""
+def test_a_key_that_is_hot_at_all_routers_together_is_split_by_each() -> None:
+    """Each of forty routers had seen the key only a few times, so all sent it to one small server."""
     routers = [Driver(settings(peers=True, siblings=40), seed=i) for i in range(40)]
     for d in routers:
         d.list(*SERVERS)
     messages = []
     for d in routers:
         for n in range(4):
-            asked(d, f"r{n}", "hot" if n == 1 else f"k{n}-{d.router.random.random()}")
+            ask(d, f"r{n}", "hot" if n == 1 else f"k{n}-{d.router.random.random()}")
         d.now += 1.0
-        messages += asked(d, "last", "other")[1]
+        messages += ask(d, "last", "other")[1]
     assert len(messages) == 40
     sent = set()
     for i, d in enumerate(routers):
@@ -126,34 +126,34 @@
             if i != j:
                 d.feed(api.PeerMessage(message))
         d.now += 1.0
-        asked(d, "again", "other")
-        sent.add(asked(d, "hot", "hot")[0])
-    assert 5 <= len(sent) <= 13  # four fair shares, into the 0.5 or so that others leave of each server
+        ask(d, "again", "other")
+        sent.add(ask(d, "hot", "hot")[0])
+    assert 5 <= len(sent) <= 13  # four fair shares, into the 0.5 or so that is free at each server
 
 
-def test_what_finds_no_place_in_a_message_is_told_in_the_next() -> None:
-    """Of a zone of sixty that was lost peers heard of twenty-four; of a hundred hot keys of thirty."""
+def test_what_finds_no_room_in_a_message_is_sent_in_the_next() -> None:
+    """Of a lost zone of sixty servers peers were sent twenty-four, and of a hundred hot keys thirty."""
     d = Driver(settings(peers=True))
     d.list(*(entry(f"s{i}") for i in range(60)))
     for n in range(300):
         d.request(f"k{n}", key=f"k{n % 100}", finish=True)
     for each in d.router.servers.values():
         d.router._found_ailing(each)
-    hears = Driver(settings(peers=True), seed=2)
-    hears.list(*(entry(f"s{i}") for i in range(60)))
+    receiver = Driver(settings(peers=True), seed=2)
+    receiver.list(*(entry(f"s{i}") for i in range(60)))
     for n in range(5):
         d.now += 1.0
-        hears.now = d.now
-        for message in asked(d, f"t{n}", f"t{n}")[1]:
-            hears.feed(api.PeerMessage(message))
-    assert all(s.eased < 1 for s in hears.router.servers.values())
-    times = hears.router.demand.history.counts
-    assert sum(times[hashed(f"k{n}") >> 32] == 3 for n in range(100)) > 90
+        receiver.now = d.now
+        for message in ask(d, f"t{n}", f"t{n}")[1]:
+            receiver.feed(api.PeerMessage(message))
+    assert all(s.eased < 1 for s in receiver.router.servers.values())
+    counts = receiver.router.demand.history.counts
+    assert sum(counts[hashed(f"k{n}") >> 32] == 3 for n in range(100)) > 90
     assert not d.router.gossip.unhealthy and not d.router.demand.deferred
 
 
 def test_no_name_is_hashed_for_a_message(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Each message of a peer that named a server cost a hash for every server of the list."""
+    """Each peer message that named a server cost a hash of every server in the list."""
     d = Driver(settings(peers=True))
     d.list(*SERVERS)
     name = server(d, "s3").name
@@ -162,92 +162,92 @@
     assert [s.entry.server for s in d.router.servers.values() if s.eased < 1] == ["s3"]
 
 
-def test_nothing_is_told_where_routers_may_not_talk() -> None:
+def test_nothing_is_sent_where_peers_are_disabled() -> None:
     d = Driver(settings(peers=False))
     d.list(*SERVERS)
-    assert not [t for n in range(200) for t in asked(d, f"r{n}", "k")[1]]
+    assert not [t for n in range(200) for t in ask(d, f"r{n}", "k")[1]]
     d = Driver(settings(peers=True))
     d.list(*SERVERS)
-    assert [t for n in range(200) for t in asked(d, f"r{n}", "k")[1]]
+    assert [t for n in range(200) for t in ask(d, f"r{n}", "k")[1]]
 
 
-def test_routers_that_start_together_do_not_talk_in_step() -> None:
+def test_routers_that_start_together_do_not_send_in_step() -> None:
     times = []
     for seed in range(8):
         d = Driver(settings(peers=True), seed=seed)
         d.list(*SERVERS)
-        asked(d, "first", "k")
+        ask(d, "first", "k")
         times.append(round(d.router.gossip.next_at - d.now, 4))
     assert len(set(times)) > 4
 
 
 @pytest.mark.parametrize("how", ["silent", "failing"])
-def test_a_server_that_one_router_finds_dead_is_eased_by_all(how: str) -> None:
-    """Each of forty lost a request a second to it, while the others had long known."""
-    knows, hears = (Driver(settings(peers=True, siblings=40), seed=s) for s in (1, 2))
-    for d in (knows, hears):
+def test_all_routers_send_less_to_a_server_that_one_finds_dead(how: str) -> None:
+    """Each of forty routers lost a request a second to it, while the others had long known."""
+    sender, receiver = (Driver(settings(peers=True, siblings=40), seed=s) for s in (1, 2))
+    for d in (sender, receiver):
         d.list(*SERVERS)
-    before = [hears.request(f"b{n}", key=f"k{n}", finish=True) for n in range(400)]
+    before = [receiver.request(f"b{n}", key=f"k{n}", finish=True) for n in range(400)]
     for n in range(3):
-        dead = knows.request(f"r{n}", key="k")
+        dead = sender.request(f"r{n}", key="k")
         if how == "failing":
-            knows.end(f"r{n}", api.Status.CONNECT_FAILED)
-            knows.ok(f"r{n}")
-    knows.now += 1.5
+            sender.end(f"r{n}", api.Status.CONNECT_FAILED)
+            sender.ok(f"r{n}")
+    sender.now += 1.5
     for n, key in enumerate(["k", "other", "more"]):
-        knows.now += 0.5
-        hears.now = knows.now
-        for message in asked(knows, f"t{n}", key)[1]:
-            hears.feed(api.PeerMessage(message))
-    after = [hears.request(f"a{n}", key=f"k{n}", finish=True) for n in range(400)]
+        sender.now += 0.5
+        receiver.now = sender.now
+        for message in ask(sender, f"t{n}", key)[1]:
+            receiver.feed(api.PeerMessage(message))
+    after = [receiver.request(f"a{n}", key=f"k{n}", finish=True) for n in range(400)]
     assert 0 < after.count(dead) < 0.8 * before.count(dead)
-    hears.now += 10.0
-    assert [hears.request(f"c{n}", key=f"k{n}", finish=True) for n in range(400)] == before
+    receiver.now += 10.0
+    assert [receiver.request(f"c{n}", key=f"k{n}", finish=True) for n in range(400)] == before
 
 
-def test_where_all_ail_alike_nothing_moves() -> None:
-    """In an overload easing the crowded ones crowded the next, until all had been eased."""
+def test_no_key_moves_where_all_servers_are_equally_unhealthy() -> None:
+    """In an overload, cutting the full servers overloaded the next ones, until all had been cut."""
     d = Driver(settings(peers=True))
     d.list(*SERVERS)
-    before = [asked(d, f"b{n}", f"k{n}")[0] for n in range(200)]
+    before = [ask(d, f"b{n}", f"k{n}")[0] for n in range(200)]
     for server in d.router.servers.values():
         d.router.shares.ease(server)
     d.now += 0.5
-    asked(d, "tell", "k")
+    ask(d, "tell", "k")
     assert [d.request(f"a{n}", key=f"k{n}", finish=True) for n in range(200)] == before
 
 
 @pytest.mark.parametrize(("siblings", "least", "most"), [(4, 1.0, 1.0), (40, 1.0, 1.0), (200, 0.1, 0.3)])
-def test_what_all_routers_hear_does_not_grow_with_the_square_of_their_number(
+def test_messages_do_not_grow_with_the_square_of_the_number_of_routers(
     siblings: int, least: float, most: float
 ) -> None:
-    """Each of two hundred told every request to all others: five points of service in a hundred."""
+    """Counts of all requests sent to all two hundred routers cost five percentage points of service."""
     d = Driver(settings(peers=True, siblings=siblings))
     d.list(*SERVERS)
     messages = 0
     for n in range(400):
-        d.now += 0.5  # longer than the longest pause between two messages
-        messages += len(asked(d, f"r{n}", f"k{n}")[1])
+        d.now += 0.5  # longer than the longest interval of messages
+        messages += len(ask(d, f"r{n}", f"k{n}")[1])
     assert least * 400 <= messages <= most * 400
-    for n in range(3):  # a server found dead is told at once, by any number
+    for n in range(3):  # a dead server is reported at once, in a fleet of any size
         d.request(f"s{n}", key="k")
     d.now += 1.5
-    asked(d, "t", "k")
+    ask(d, "t", "k")
     d.now += 0.5
-    assert asked(d, "last", "other")[1]
+    assert ask(d, "last", "other")[1]
 
 
-def test_less_is_remembered_where_less_is_told() -> None:
-    """A key that turns hot is to count as hot as soon as where all requests are told."""
+def test_the_history_is_shorter_where_less_is_sent() -> None:
+    """A key that turns hot has to be noticed as soon as where all requests are sent."""
     one = Demand(0.2)
     for key in range(6 * 128):
         one.add(key)
-    shared(one, **dict.fromkeys("abcdef", 1 / 6))
+    split(one, **dict.fromkeys("abcdef", 1 / 6))
     assert one.history.total <= 0.2 * 6 * 128
 
 
-def test_what_finds_no_room_is_not_left_to_the_first_server_alone() -> None:
-    """A cold server that came first, with the only room, was sent the whole of a hot key."""
+def test_load_without_free_capacity_does_not_all_go_to_the_first_server() -> None:
+    """A cold server that came first, with the only free capacity, was sent the whole of a hot key."""
     one = Demand()
     for key, times in ((1, 90), (2, 90), (3, 90), (4, 90)):
         for _ in range(times):
@@ -258,13 +258,13 @@
         lambda position: iter(("cold", "b", "c")),
         lambda key, server: 0.13 if server == "cold" else 1.0,
     )
-    assert 0 < sum(taken["cold"] for taken in portions.values()) <= 1.25 * 0.06  # its room and no more
+    assert 0 < sum(taken["cold"] for taken in portions.values()) <= 1.25 * 0.06  # its capacity and no more
     for taken in portions.values():
         assert sum(taken.values()) == pytest.approx(89 / 360)
 
 
-def test_a_cold_server_does_not_get_what_crowded_ones_leave_of_a_hot_key() -> None:
-    """Behind two crowded servers the walk ended and fell back on the first, cold or not."""
+def test_a_cold_server_does_not_get_what_full_ones_refuse_of_a_hot_key() -> None:
+    """The walk ended behind two full servers and fell back on the first one, cold or not."""
     cold = entry("cold", since=95.0)
     d = Driver(settings(subscribe=True, ramp=23.0, cold_share=0.13, fall_multiple=3.0))
     d.list(*SERVERS, cold)
@@ -276,7 +276,7 @@
     d.router.demand.history.counts[hashed(key) >> 32] = 300
     d.router.demand.history.total = 1000.0
     d.now += 1.0
-    d.request("first", key=key, finish=True)  # shares the key out
+    d.request("first", key=key, finish=True)  # splits the key
     portions = d.router.shares.portions[hashed(key) >> 32]
     planned = [s for s in portions if portions[s] and s is not server(d, "cold")]
     for other in planned[:3]:
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -1,4 +1,4 @@
-"""What all routers hear has a bound of its own, however many they are and whatever goes wrong."""
+"""The traffic of peer messages is bounded, however many routers there are and whatever fails."""
 
 from __future__ import annotations
 
@@ -16,21 +16,23 @@
 from fleetlab.model import Fleet, shared_rings, zipf
 from tests.driver import Driver, entry, settings
 
-NOTHING = bytes(DIGEST_BYTES) + HEADER.pack(0, 0, 0)
+EMPTY = bytes(DIGEST_BYTES) + HEADER.pack(0, 0, 0)
 SERVERS = [entry(f"s{i}", zone="abcd"[i % 4]) for i in range(12)]
 
 
-def names_in(message: bytes) -> list[int]:
-    """The servers that a message tells of, by the form of `brackenwalk/demand.py`."""
+def servers_in(message: bytes) -> list[int]:
+    """Return the ids of the servers that a message reports, by the format of `brackenwalk/demand.py`."""
     body = message[DIGEST_BYTES:]
-    _, _, lines = HEADER.unpack_from(body)
-    return [name for (name,) in SERVER_ID.iter_unpack(body[HEADER.size + lines * KEY_ENTRY.size :])]
+    _, _, keys = HEADER.unpack_from(body)
+    return [server for (server,) in SERVER_ID.iter_unpack(body[HEADER.size + keys * KEY_ENTRY.size :])]
 
 
 @pytest.mark.parametrize("routers", [4, 40, 230])
-def test_what_all_find_ailing_is_told_by_few(routers: int, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Each router that met one of a zone's dead servers told all others, and again while it met them."""
-    monkeypatch.setattr(model, "ON_THE_WAY", 0.027)  # the longest of any site
+def test_servers_that_all_find_unhealthy_are_reported_by_few(
+    routers: int, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """Each router that met one of a zone's dead servers reported it to all others, again and again."""
+    monkeypatch.setattr(model, "ON_THE_WAY", 0.027)  # the longest delay of any site
     with shared_rings():
         fleet = Fleet(settings(peers=True, aside=False), routers, SERVERS, hosted=True)
         keys = zipf(240)
@@ -38,15 +40,15 @@
         fleet.messages.clear()
         fleet.lose([s.server for s in SERVERS if s.zone == "a"])
         fleet.run(4.0, 12.0 * routers, keys)
-    told = [m for m in fleet.messages if names_in(m)]
-    assert 0 < len(told) < 4.0 * 15  # some five a second were counted, of 230 as of 40
+    reports = [m for m in fleet.messages if servers_in(m)]
+    assert 0 < len(reports) < 4.0 * 15  # about five a second were measured, of 230 routers as of 40
     for router in fleet.routers:
         eased = {s.entry.server for s in router.servers.values() if s.eased < 1}
         assert {s.server for s in SERVERS if s.zone == "a"} <= eased
 
 
 def rate_of(siblings: int, keys: int) -> tuple[float, float]:
-    """Bytes and messages a second that each router hears of so many siblings with so many keys a message."""
+    """Return bytes and messages a second that a router receives from its siblings, with `keys` in each."""
     conf = settings(peers=True, siblings=siblings)
     gossip, now, size, count = Gossip(conf, random.Random(3), 0.0), 0.0, 0, 0
     while now < 400.0:
@@ -62,42 +64,42 @@
 
 @pytest.mark.parametrize("siblings", [40, 230, 600, 2300])
 @pytest.mark.parametrize("keys", [8, MAX_KEYS, 140])
-def test_what_each_router_hears_of_keys_is_bounded_in_bytes(siblings: int, keys: int) -> None:
-    """Forty tellers of full messages made 30 KB a second at every router; 12 KB are for all control."""
+def test_the_bytes_of_key_counts_that_a_router_receives_are_bounded(siblings: int, keys: int) -> None:
+    """Forty senders of full messages made 30 KB/s at every router; 12 KB/s are for all control traffic."""
     assert 0.7 * min(MAX_BYTES_PER_S, 40 * 4.0 * 77) < rate_of(siblings, keys)[0] < 1.3 * MAX_BYTES_PER_S
 
 
 @pytest.mark.parametrize(("siblings", "messages"), [(4, 16.0), (40, 160.0), (200, 160.0)])
-def test_routers_that_are_asked_little_tell_as_often_as_ever(siblings: int, messages: float) -> None:
+def test_routers_with_few_requests_send_at_the_full_rate(siblings: int, messages: float) -> None:
     assert rate_of(siblings, 3)[1] == pytest.approx(messages, rel=0.25)
 
 
-def test_who_hears_another_tell_of_a_server_does_not_tell_it_again() -> None:
+def test_a_server_that_a_peer_has_reported_is_not_reported_again() -> None:
     first, second = (Driver(settings(peers=True, siblings=40), seed=s) for s in (1, 2))
     for d in (first, second):
         d.list(*SERVERS)
         d.router._found_ailing(d.router.servers["s1"])
     content = first.router.gossip.next_message(first.now)
-    assert names_in(content) == [first.router.servers["s1"].name]
+    assert servers_in(content) == [first.router.servers["s1"].name]
     second.feed(api.PeerMessage(content))
-    assert names_in(second.router.gossip.next_message(second.now) or NOTHING) == []
-    assert names_in(first.router.gossip.next_message(first.now) or NOTHING) == []  # told once
+    assert servers_in(second.router.gossip.next_message(second.now) or EMPTY) == []
+    assert servers_in(first.router.gossip.next_message(first.now) or EMPTY) == []  # reported once
 
 
-def test_a_server_is_told_of_again_while_it_fails() -> None:
+def test_a_server_is_reported_again_while_it_fails() -> None:
     d = Driver(settings(peers=True, siblings=40))
     d.list(*SERVERS)
-    told: Counter[int] = Counter()
+    reports: Counter[int] = Counter()
     for _ in range(40):
         d.now += 0.1
         d.feed(api.TimerFired("the time"))
         d.router._found_ailing(d.router.servers["s1"])
-        told.update(names_in(d.router.gossip.next_message(d.now) or NOTHING))
-    assert 8 <= told[d.router.servers["s1"].name] <= 16  # as often as a cut counts: four a second
+        reports.update(servers_in(d.router.gossip.next_message(d.now) or EMPTY))
+    assert 8 <= reports[d.router.servers["s1"].name] <= 16  # once for each cut that counts: four a second
 
 
-def test_what_ails_is_told_without_the_keys_that_others_tell() -> None:
-    """Each of 2,300 routers that found a server ailing told thirty keys beside its name."""
+def test_unhealthy_servers_are_reported_without_key_counts_in_a_large_fleet() -> None:
+    """Each of 2,300 routers that found a server unhealthy sent thirty keys along with it."""
     d = Driver(settings(peers=True, siblings=2300))
     d.list(*SERVERS)
     sizes = []
@@ -111,7 +113,7 @@
     assert sorted(sizes)[180] == DIGEST_BYTES + HEADER.size + SERVER_ID.size
 
 
-def test_a_message_that_comes_too_late_changes_nothing_and_is_counted() -> None:
+def test_a_stale_message_changes_nothing_and_is_counted() -> None:
     d = Driver(settings(peers=True, siblings=40))
     d.list(*SERVERS)
     name = d.router.servers["s1"].name
@@ -127,16 +129,16 @@
     assert d.router.servers["s1"].eased < 1 and d.router.demand.history.total == 1
 
 
-def test_the_time_of_a_message_is_read_also_where_it_begins_anew() -> None:
+def test_the_timestamp_of_a_message_is_read_also_where_it_wraps_round() -> None:
     for now in (655.35, 655.36, 655.4, 1_795_000_000.0):
-        sender, hears = Demand(), Demand(1.0, 2.0)
+        sender, receiver = Demand(), Demand(1.0, 2.0)
         sender.add(7)
-        hears.receive(sender.next_message([], now=now - 1.0), now)
-        assert hears.history.total == 1 and not hears.stale
+        receiver.receive(sender.next_message([], now=now - 1.0), now)
+        assert receiver.history.total == 1 and not receiver.stale
     assert timestamp_of(655.36) == 0
 
 
-def test_nothing_is_told_of_what_ails_where_routers_may_not_talk() -> None:
+def test_unhealthy_servers_are_not_reported_where_peers_are_disabled() -> None:
     d = Driver(settings(peers=False, siblings=40))
     d.list(*SERVERS)
     for _ in range(20):
@@ -146,9 +148,9 @@
     assert not d.told
 
 
-def test_a_message_of_the_form_before_is_not_read() -> None:
-    """Read as the present form it would have told of requests that nobody made."""
+def test_a_message_of_the_previous_format_is_ignored() -> None:
+    """Read in the present format it would count requests that nobody made."""
     body = struct.pack(">HBIB", 600, 1, 7, 9) + bytes(2)
-    hears = Demand()
-    hears.receive(hashlib.blake2b(body, digest_size=DIGEST_BYTES).digest() + body)
-    assert hears.invalid == 1 and not hears.history.total
+    receiver = Demand()
+    receiver.receive(hashlib.blake2b(body, digest_size=DIGEST_BYTES).digest() + body)
+    assert receiver.invalid == 1 and not receiver.history.total
