--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -1,4 +1,4 @@
-"""Scripted peers on loopback: a test takes what the router sent and says what goes back."""
+"""Test harness on loopback: scripted servers and clients around a real host and listener."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from brackenwalk.net.pool import Pool
 from brackenwalk.net.servers import CacheConnection
 
-TIMEOUT_S = 10.0  # seconds until a test that waits for an event fails
+TIMEOUT_S = 10.0  # after which a test that waits for an event fails
 HIT = b"*3\r\n$5\r\nvalue\r\n$3\r\nhit\r\n$-1\r\n"
 MISS = b"*3\r\n$-1\r\n$4\r\nmiss\r\n$-1\r\n"
 READ = api.RequestClass("read", aim=1.0)
@@ -35,16 +35,16 @@
 
 
 def run(scenario: Callable[[], Awaitable[None]]) -> None:
-    """Play a test to its end; it fails when it waits for what never comes, or a callback raises."""
-    faults: list[dict[str, Any]] = []
+    """Run a test; it fails if it does not end within `TIMEOUT_S` or if a callback of the loop raises."""
+    errors: list[dict[str, Any]] = []
 
     async def bounded() -> None:
-        asyncio.get_running_loop().set_exception_handler(lambda _, fault: faults.append(fault))
+        asyncio.get_running_loop().set_exception_handler(lambda _, context: errors.append(context))
         async with asyncio.timeout(TIMEOUT_S):
             await scenario()
 
     asyncio.run(bounded())
-    assert not faults
+    assert not errors
 
 
 def format_address(address: tuple[str, int]) -> str:
@@ -69,7 +69,7 @@
 
 
 class Link:
-    """One connection, seen from the test's end."""
+    """The test's end of one connection."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader = reader
@@ -80,7 +80,7 @@
         self.writer.write(data)
 
     async def resp(self) -> Any:
-        """The next RESP message."""
+        """Read the next RESP message."""
         while (message := self.parser.gets()) is Ellipsis:
             data = await self.reader.read(65536)
             assert data, "the connection ended"
@@ -88,13 +88,13 @@
         return message
 
     async def http(self) -> tuple[str, dict[str, str], bytes]:
-        """The next HTTP request: its first line, headers and body."""
-        first, *rest = (await self.reader.readuntil(b"\r\n\r\n")).decode().strip().split("\r\n")
-        headers = {k.lower(): v for k, v in (line.split(": ", 1) for line in rest)}
+        """Read the next HTTP request: its request line, headers and body."""
+        first, *fields = (await self.reader.readuntil(b"\r\n\r\n")).decode().strip().split("\r\n")
+        headers = {k.lower(): v for k, v in (line.split(": ", 1) for line in fields)}
         return first, headers, await self.reader.readexactly(int(headers.get("content-length", 0)))
 
     async def wait_closed(self) -> bool:
-        """Wait for the other side to close."""
+        """Wait for the other side to close or reset; False if it sent anything before."""
         try:
             return await self.reader.read() == b""
         except ConnectionResetError:
@@ -104,14 +104,14 @@
         self.writer.close()
 
     def reset(self) -> None:
-        """End with a reset."""
-        peer = self.writer.get_extra_info("socket")
-        peer.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+        """Close with a reset."""
+        own = self.writer.get_extra_info("socket")
+        own.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         self.writer.transport.abort()
 
 
 class ScriptedServer:
-    """A server whose every connection the test takes in hand."""
+    """A server that hands each of its connections to the test."""
 
     def __init__(self) -> None:
         self.links: asyncio.Queue[Link] = asyncio.Queue()
@@ -130,7 +130,7 @@
         self.links.put_nowait(Link(reader, writer))
 
     async def link(self) -> Link:
-        """The next connection made to it."""
+        """Wait for the next connection to this server."""
         return await self.links.get()
 
 
@@ -139,7 +139,7 @@
 
 
 class RouterHarness:
-    """A host with its listener between two caches and an origin."""
+    """A host and its listener, with two scripted cache servers and an origin."""
 
     def __init__(self, settings: api.Settings = SETTINGS, listed: bool = True, clients: int = 16) -> None:
         self.listed = listed
@@ -155,8 +155,8 @@
         self.subscribed += 1
 
     async def __aenter__(self) -> Self:
-        for peer in (*self.caches.values(), self.origin):
-            await peer.__aenter__()
+        for server in (*self.caches.values(), self.origin):
+            await server.__aenter__()
         if self.listed:
             self.list("a", "b")
         self.listener.start(("127.0.0.1", 0))
@@ -175,23 +175,23 @@
         await self.listener.stop(0.0, 1.0)
         self.servers.close()
         self.origins.close()
-        for peer in (*self.caches.values(), self.origin):
-            await peer.__aexit__(kind, error, trace)
+        for server in (*self.caches.values(), self.origin):
+            await server.__aexit__(kind, error, trace)
 
     async def client(self) -> Link:
-        """A new client's connection."""
+        """Connect a new client."""
         return Link(*await asyncio.open_connection(*self.listener.socket.getsockname()))
 
     async def cache(self) -> Link:
-        """The next connection to either cache."""
-        waits = [asyncio.create_task(p.link()) for p in self.caches.values()]
+        """Wait for the next connection to either cache server."""
+        waits = [asyncio.create_task(s.link()) for s in self.caches.values()]
         done, others = await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
         for other in others:
             other.cancel()
         return done.pop().result()
 
     async def start_read(self, request: str = "r1", info: str = "c=read,t=x,d=2000") -> tuple[Link, Link]:
-        """A client's read that a cache has in hand: the ends of both."""
+        """Send a read and wait until a cache server has it; returns the client's and the server's links."""
         client = await self.client()
         client.write(read(request, info=info))
         cache = await self.cache()
--- a/tests/test_demand.py
+++ b/tests/test_demand.py
@@ -147,8 +147,8 @@
         for message in ask(d, f"t{n}", f"t{n}")[1]:
             receiver.feed(api.PeerMessage(message))
     assert all(s.eased < 1 for s in receiver.router.servers.values())
-    counts = receiver.router.demand.history.counts
-    assert sum(counts[hashed(f"k{n}") >> 32] == 3 for n in range(100)) > 90
+    received = receiver.router.demand.history.counts
+    assert sum(received[hashed(f"k{n}") >> 32] == 3 for n in range(100)) > 90
     assert not d.router.gossip.unhealthy and not d.router.demand.deferred
 
 
--- a/tests/test_house.py
+++ b/tests/test_house.py
@@ -1,4 +1,4 @@
-"""House rules: the module's size and words, and the README's example."""
+"""Limits on the decision module (size, imports, words), the deploy file, and the README's example."""
 
 import re
 import tomllib
@@ -8,8 +8,8 @@
 
 ROOT = Path(__file__).parent.parent
 MODULE = (ROOT / "brackenwalk" / "policy.py").read_text()
-OTHERS = ("ring", "state", "demand", "shares", "gossip", "discovery_calls")
-PARTS = [MODULE, *((ROOT / "brackenwalk" / f"{n}.py").read_text() for n in OTHERS)]
+PARTS = ("ring", "state", "demand", "shares", "gossip", "discovery_calls")
+TEXTS = [MODULE, *((ROOT / "brackenwalk" / f"{n}.py").read_text() for n in PARTS)]
 OTHERS_WORDS = (
     "lessons mechelen hobart timetable booking slot- grid prize hint-spend quote amend shannonside "
     "lee-valley kruiswoord puzzelkrant mots junior dublin cork hall- launceston devonport gen- fast- mid- "
@@ -21,25 +21,25 @@
 
 
 def test_module_stays_small() -> None:
-    sizes = [sum(bool(line.strip()) for line in part.splitlines()) for part in PARTS]
-    assert sizes[0] <= 470  # no file outgrows what one can read through, and no other is as large
+    sizes = [sum(bool(line.strip()) for line in text.splitlines()) for text in TEXTS]
+    assert sizes[0] <= 470  # a file stays short enough to read through, and the others are smaller
     assert max(sizes[1:]) <= 200
-    assert max(len(line) for part in PARTS for line in part.splitlines()) <= 110
-    assert sum(sizes) <= 960  # the operators run none of over 1,200
+    assert max(len(line) for text in TEXTS for line in text.splitlines()) <= 110
+    assert sum(sizes) <= 960  # the operators refuse a module of over 1,200 lines
 
 
 def test_module_names_no_deployment() -> None:
-    words = [w for w in OTHERS_WORDS.split() for p in PARTS if re.search(rf"\b{w}", p, re.IGNORECASE)]
+    words = [w for w in OTHERS_WORDS.split() for t in TEXTS if re.search(rf"\b{w}", t, re.IGNORECASE)]
     assert not words
 
 
 def test_the_deploy_file_names_every_part_of_the_module() -> None:
     named = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["policy"]
-    assert [(ROOT / n).read_text() for n in named] == PARTS
+    assert [(ROOT / n).read_text() for n in named] == TEXTS
 
 
 def test_module_reads_no_clock_and_does_no_io() -> None:
-    imported = re.findall(r"^(?:import|from) (\S+)", "\n".join(PARTS), re.MULTILINE)
+    imported = re.findall(r"^(?:import|from) (\S+)", "\n".join(TEXTS), re.MULTILINE)
     allowed = {
         "__future__",
         "array",
