--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -1,4 +1,4 @@
-"""The model of a fleet, which lives in the laboratory."""
+"""Re-exports the laboratory's model of a fleet for the tests."""
 
 from fleetlab.model import LATENCY, Fleet, zipf
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""What all routers together send to cold servers, counted over many instances of the module."""
+"""The load that all routers together put on cold servers, with many instances of the module."""
 
 from __future__ import annotations
 
@@ -13,39 +13,39 @@
 from tests.driver import entry, settings
 from tests.fleet import Fleet, zipf
 
-LOAD = 0.5  # of what warm servers can do, by the requests of clients
+LOAD = 0.5  # share of the warm servers' capacity that clients' requests take
 CONF = settings(peers=True, cold_share=0.13, ramp=23.0, fall_multiple=3.0, fall_window=1.5)
 
 
-def worst(fleet: Fleet, cold: list[api.ServerEntry], fair: float) -> float:
-    """The fullest window of any cold server, as a part of what makes it fall over at its age."""
-    most = 0.0
+def worst_load(fleet: Fleet, cold: list[api.ServerEntry], fair: float) -> float:
+    """Return the fullest window of any cold server, as a share of the load that overloads it at its age."""
+    worst = 0.0
     for server in cold:
         times = [t for t, _ in fleet.sent[server.server]]
         for i, t in enumerate(times):
             age = (t - server.since) / CONF.ramp
-            able = fair / LOAD * (CONF.cold_share + (1 - CONF.cold_share) * age)
+            capacity = fair / LOAD * (CONF.cold_share + (1 - CONF.cold_share) * age)
             sent = bisect_left(times, t + CONF.fall_window) - i
-            most = max(most, sent / (CONF.fall_multiple * CONF.fall_window * able))
-    return most
+            worst = max(worst, sent / (CONF.fall_multiple * CONF.fall_window * capacity))
+    return worst
 
 
 @dataclass(frozen=True)
-class Day:
-    """Servers are replaced, and a part of the routers is killed."""
+class Replacement:
+    """A fleet in which some servers are replaced by cold ones and a share of the routers is killed."""
 
     routers: int
     servers: int
     cold: int
     rate: float
-    heard: bool = True
-    killed: float = 0.0
+    messages: bool = True  # whether routers receive those of peers
+    killed: float = 0.0  # share of the routers
 
-    def play(self) -> tuple[float, float]:
-        """The worst window of all cold servers, and the part of the requests that is served."""
+    def run(self) -> tuple[float, float]:
+        """Return the worst window of all cold servers, and the share of the requests that is served."""
         old = [entry(f"old{i}", zone="abc"[i % 3]) for i in range(self.servers)]
         fleet = Fleet(CONF, self.routers, old)
-        fleet.heard = self.heard
+        fleet.heard = self.messages
         keys = zipf(20 * self.servers)
         fleet.run(0.6, self.rate, keys)
         new = [entry(f"new{i}", zone="abc"[i % 3], since=fleet.now - 0.3) for i in range(self.cold)]
@@ -57,37 +57,39 @@
                 fleet.feed(number, api.ServerList(api.ListKind.FULL, tuple(listed)))
         fleet.ended.clear()
         fleet.run(1.6, self.rate, keys)
-        return worst(fleet, new, self.rate / self.servers), fleet.ended["served"] / fleet.ended.total()
+        return worst_load(fleet, new, self.rate / self.servers), fleet.ended["served"] / fleet.ended.total()
 
 
 @pytest.mark.parametrize(
-    "day",
+    "scenario",
     [
-        Day(4, 6, 2, 400.0),
-        Day(40, 60, 36, 2400.0, killed=0.7),
-        Day(40, 60, 36, 2400.0, heard=False, killed=0.7),
-        Day(200, 120, 72, 1600.0, heard=False),
-        Day(200, 120, 15, 1600.0, killed=0.7),
-        Day(230, 240, 150, 1600.0, heard=False),
+        Replacement(4, 6, 2, 400.0),
+        Replacement(40, 60, 36, 2400.0, killed=0.7),
+        Replacement(40, 60, 36, 2400.0, messages=False, killed=0.7),
+        Replacement(200, 120, 72, 1600.0, messages=False),
+        Replacement(200, 120, 15, 1600.0, killed=0.7),
+        Replacement(230, 240, 150, 1600.0, messages=False),
     ],
     ids=str,
 )
-def test_cold_servers_bear_what_all_routers_send(day: Day, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Whole keys fell to them, and the points that other cold ones had left out: many times the limit."""
-    monkeypatch.setattr(ring, "virtual_nodes", cache(ring.virtual_nodes))  # the same at all routers
-    part, served = day.play()
-    assert 0 < part <= 0.75  # two thirds, and a little for chance where a window holds ten requests
+def test_all_routers_together_do_not_overload_cold_servers(
+    scenario: Replacement, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """Cold servers got whole keys, and the virtual nodes other cold ones left out: many times the limit."""
+    monkeypatch.setattr(ring, "virtual_nodes", cache(ring.virtual_nodes))  # equal at all routers
+    load, served = scenario.run()
+    assert 0 < load <= 0.75  # two thirds, and a margin for chance where a window holds ten requests
     assert served > 0.95
 
 
-def test_where_all_are_cold_what_they_do_not_bear_is_told_to_come_back() -> None:
-    """With no warm server left all went to cold ones, eight times what they bear."""
+def test_where_all_servers_are_cold_the_excess_is_told_to_retry_later() -> None:
+    """With no warm server left, all requests went to cold ones: eight times their capacity."""
     fleet = Fleet(replace(CONF, max_retry_after=2.0), 40, [entry("old")])
     cold = [entry(f"new{i}", since=fleet.now) for i in range(20)]
     for number in range(40):
         fleet.feed(number, api.ServerList(api.ListKind.FULL, tuple(cold)))
     fleet.run(1.6, 2000.0, zipf(400))
-    assert worst(fleet, cold, 2000.0 / 20) <= 0.75
+    assert worst_load(fleet, cold, 2000.0 / 20) <= 0.75
     assert 0.1 < fleet.ended["served"] / fleet.ended.total() < 0.4
     assert min(fleet.pauses) >= 0.75 and max(fleet.pauses) <= 1.5
-    assert max(fleet.pauses) - min(fleet.pauses) > 0.5  # not all at once
+    assert max(fleet.pauses) - min(fleet.pauses) > 0.5  # spread, so that retries do not come all at once
--- a/tests/test_net_resp.py
+++ b/tests/test_net_resp.py
@@ -1,4 +1,4 @@
-"""RESP2 messages, however they come and whatever they promise."""
+"""The RESP2 reader: messages split at any place, and headers that announce too much."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 from brackenwalk.net.resp import LONGEST_LINE, MOST, NOT_YET, Reader
 
-WHOLE = [
+MESSAGES = [
     (b"*2\r\n$3\r\nGET\r\n$9\r\n*9\r\n$9\r\n\r\r\n", [b"GET", b"*9\r\n$9\r\n\r"]),
     (b"*3\r\n$-1\r\n$0\r\n\r\n:7\r\n", [None, b"", 7]),
     (b"*0\r\n", []),
@@ -18,19 +18,19 @@
 
 
 @pytest.mark.parametrize("piece", [1, 2, 3, 7, 4096])
-def test_messages_are_the_same_in_whatever_pieces_they_come(piece: int) -> None:
-    text, reader, got = b"".join(t for t, _ in WHOLE), Reader(), []
+def test_messages_are_read_alike_in_pieces_of_any_size(piece: int) -> None:
+    text, reader, got = b"".join(t for t, _ in MESSAGES), Reader(), []
     for at in range(0, len(text), piece):
         reader.feed(text[at : at + piece])
         while (message := reader.gets()) is not NOT_YET:
             got.append(message.decode() if message == b"OK" else message)
-    assert got == [m for _, m in WHOLE] and reader.clear()
+    assert got == [m for _, m in MESSAGES] and reader.clear()
 
 
 @pytest.mark.parametrize("header", [b"*%d\r\n" % (MOST + 1), b"*2\r\n*2\r\n", b"%5\r\n", b"+" + b"x" * 9999])
 @pytest.mark.parametrize("piece", [1, 5, 99999])
-def test_what_came_before_a_header_that_promises_too_much_is_still_told(header: bytes, piece: int) -> None:
-    """A fault is told in its turn, and nothing after it is believed."""
+def test_messages_before_a_bad_header_are_still_returned(header: bytes, piece: int) -> None:
+    """An error is raised after the messages before it, and nothing after it is read."""
     text, reader, got = b"*1\r\n$4\r\nPING\r\n" + header + b"*1\r\n$4\r\nPING\r\n", Reader(), []
     with pytest.raises(hiredis.ProtocolError):
         for at in range(0, len(text), piece):
@@ -40,7 +40,7 @@
     assert got == [[b"PING"]] and not reader.clear()
 
 
-def test_a_line_without_end_is_not_held() -> None:
+def test_a_line_without_an_end_is_not_buffered() -> None:
     reader = Reader()
     for _ in range(3 * LONGEST_LINE):
         reader.feed(b"x")
