--- a/tests/test_grammar_resp.py
+++ b/tests/test_grammar_resp.py
@@ -1,6 +1,6 @@
-"""RESP2 to the letter, for answers and commands: what is good reads as it was made, the rest is no value.
+"""RESP2 answers and commands: valid ones are read as they were built, all others are rejected.
 
-The grammar is written down here once more, as regular expressions over whole messages.
+The grammar is written here a second time, as regular expressions over whole messages.
 """
 
 from __future__ import annotations
@@ -36,7 +36,7 @@
 
 
 def bulks(text: bytes, count: int) -> tuple[list[bytes | None], bytes] | None:
-    """So many bulk strings or nulls and what is left behind them; None for a text that begins otherwise."""
+    """Split `count` bulk strings or nulls off a text; None if the text begins otherwise."""
     parts: list[bytes | None] = []
     for _ in range(count):
         if text.startswith(NULL):
@@ -55,17 +55,17 @@
 
 
 def answer_of(text: bytes) -> Answer | None:
-    """What a whole answer at the beginning of a text means by PROTOCOL; None where there is none."""
+    """Return what a whole answer at the beginning of a text means by PROTOCOL; None if there is none."""
     if text.startswith(b"*3\r\n"):
-        read = bulks(text[4:], 3)
-        if read is None:
+        parts = bulks(text[4:], 3)
+        if parts is None:
             return None
-        value = read[0][0]
+        value = parts[0][0]
         return (Status.MISS, b"") if value is None else (Status.OK, value)
-    said = ERROR.match(text)
-    if said is None:
+    error_line = ERROR.match(text)
+    if error_line is None:
         return None
-    word = said[1].split(b" ")[0]
+    word = error_line[1].split(b" ")[0]
     return {b"BUSY": (Status.FULL, b""), b"ERR": (Status.ERROR, b"")}.get(word)
 
 
@@ -74,8 +74,8 @@
     return [text[a:b] for a, b in zip([0, *ends], [*ends, len(text)], strict=True)]
 
 
-def decoded(parts: list[bytes]) -> Answer | str:
-    """What a connection to a cache server makes of an answer that comes in these pieces."""
+def decode(parts: list[bytes]) -> Answer | str:
+    """Return what a connection to a cache server decodes from an answer that arrives in these pieces."""
     connection = CacheConnection(Pool(CacheConnection, 1, 1.0, 60.0), "127.0.0.1:1")
     for part in parts:
         try:
@@ -84,7 +84,7 @@
             return "malformed"
         if answer is not None:
             return answer
-    return "not yet"
+    return "incomplete"
 
 
 values = st.one_of(
@@ -99,24 +99,24 @@
     ),
 )
 cut = st.sets(st.integers(0, 400), max_size=6)
-quiet = settings(deadline=None, derandomize=True, max_examples=300)
+examples = settings(deadline=None, derandomize=True, max_examples=300)
 
 
-@quiet
+@examples
 @given(answers, cut)
-def test_a_good_answer_cut_anywhere_reads_as_it_was_made(text: bytes, cuts: set[int]) -> None:
-    assert decoded(pieces(text, cuts)) == answer_of(text)
+def test_a_valid_answer_split_anywhere_is_read_as_it_was_built(text: bytes, cuts: set[int]) -> None:
+    assert decode(pieces(text, cuts)) == answer_of(text)
 
 
-@quiet
+@examples
 @given(answers, st.integers(0, 400), st.binary(min_size=0, max_size=2), st.integers(0, 2), cut)
-def test_an_answer_with_bytes_changed_reads_by_the_grammar_or_fails(
-    text: bytes, at: int, put: bytes, away: int, cuts: set[int]
+def test_a_changed_answer_is_read_by_the_grammar_or_fails(
+    text: bytes, at: int, inserted: bytes, removed: int, cuts: set[int]
 ) -> None:
     at %= len(text)
-    spoilt = text[:at] + put + text[at + away :]
-    got, meant = decoded(pieces(spoilt, cuts)), answer_of(spoilt)
-    assert got == meant if meant is not None else got in ("malformed", "not yet")
+    changed = text[:at] + inserted + text[at + removed :]
+    got, expected = decode(pieces(changed, cuts)), answer_of(changed)
+    assert got == expected if expected is not None else got in ("malformed", "incomplete")
 
 
 FIELDS = [
@@ -154,43 +154,43 @@
 
 
 @pytest.mark.parametrize("piece", [1, 2, 3, 99])
-@pytest.mark.parametrize(("right", "wrong"), FIELDS)
-def test_no_field_but_a_right_one_is_served(right: bytes, wrong: bytes, piece: int) -> None:
-    text = array([b"value", b"hit", None]).replace(right, wrong, 1)
-    got = decoded([text[i : i + piece] for i in range(0, len(text), piece)])
-    assert got in ("malformed", "not yet")
+@pytest.mark.parametrize(("valid", "invalid"), FIELDS)
+def test_an_answer_with_an_invalid_field_is_not_served(valid: bytes, invalid: bytes, piece: int) -> None:
+    text = array([b"value", b"hit", None]).replace(valid, invalid, 1)
+    got = decode([text[i : i + piece] for i in range(0, len(text), piece)])
+    assert got in ("malformed", "incomplete")
 
 
 @pytest.mark.parametrize(
     "text", [b"-\r\n", b"-BUSYBODY\r\n", b"-NOPERM\r\n", b"-busy\r\n", b"+OK\r\n", b"$5\r\nvalue\r\n"]
 )
-def test_no_line_but_those_of_the_protocol_is_an_answer(text: bytes) -> None:
-    assert decoded([text]) == "malformed"
+def test_only_error_lines_of_the_protocol_are_answers(text: bytes) -> None:
+    assert decode([text]) == "malformed"
 
 
 @pytest.mark.parametrize("at", range(1, len(b"value\r\n") + 1))
 def test_a_value_without_its_line_end_is_not_served(at: int) -> None:
-    """`*3 $4 abcdef$-1` was served as `abcd`: the two bytes after a bulk string were passed over unread."""
+    """`*3 $4 abcdef$-1` was served as `abcd`: the two bytes after a bulk string were skipped unchecked."""
 
     async def scenario() -> None:
-        async with ScriptedServer() as peer:
+        async with ScriptedServer() as server:
             ends = caches()
-            link = await ends.begun(peer)
-            spoilt = b"$5\r\nvalueXY$-1\r\n$-1\r\n"
-            link.write(b"*3\r\n" + spoilt[: 4 + at])
+            link = await ends.begun(server)
+            invalid = b"$5\r\nvalueXY$-1\r\n$-1\r\n"
+            link.write(b"*3\r\n" + invalid[: 4 + at])
             await link.writer.drain()
-            link.write(spoilt[4 + at :])
+            link.write(invalid[4 + at :])
             assert await ends.end() == (Status.ERROR, b"")
             assert await link.wait_closed() and not ends.pool.connections
 
     run(scenario)
 
 
-# commands
+# Commands
 
 
-def taken(parts: list[bytes]) -> list[Any]:
-    """The messages that a client's connection reads, and the fault that ends them, if there is one."""
+def read(parts: list[bytes]) -> list[Any]:
+    """Return the messages that a client's connection reads, and "error" at the first that is invalid."""
     reader = Reader(parts=b":-$")
     got: list[Any] = []
     for part in parts:
@@ -199,7 +199,7 @@
             try:
                 message = reader.gets()
             except hiredis.ProtocolError:
-                return [*got, "fault"]
+                return [*got, "error"]
             if message is NOT_YET:
                 break
             got.append(message)
@@ -209,28 +209,28 @@
 LINE = re.compile(rb"[+-][^\r\n]*\r\n|:(?:0|-?[1-9][0-9]{0,17})\r\n")
 
 
-def one_of(text: bytes, simple: bool) -> tuple[bytes | None, bytes] | None:
-    """A message that is no array, None for one that is no bulk string, and what is left behind it."""
+def split_simple(text: bytes, simple: bool) -> tuple[bytes | None, bytes] | None:
+    """Split a message off a text that is not an array; the message is None unless it is a bulk string."""
     line = LINE.match(text)
     if line is not None and (simple or not text.startswith(b"+")):
         return None, text[line.end() :]
-    read = bulks(text, 1)
-    return (read[0][0], read[1]) if read is not None else None
+    parts = bulks(text, 1)
+    return (parts[0][0], parts[1]) if parts is not None else None
 
 
 def commands_of(text: bytes) -> list[list[bytes]]:
-    """The arrays of bulk strings in a text, as far as it is whole messages of the grammar."""
+    """Return the arrays of bulk strings in a text, up to the first thing that the grammar does not allow."""
     got: list[list[bytes]] = []
     while text:
         head = re.match(rb"\*(-1|0|[1-9][0-9]?)\r\n", text)
         if head is None:
-            if (other := one_of(text, simple=True)) is None:
+            if (other := split_simple(text, simple=True)) is None:
                 break
             text = other[1]
             continue
         text, parts = text[head.end() :], []
         for _ in range(max(0, int(head[1]))):
-            if (part := one_of(text, simple=False)) is None:
+            if (part := split_simple(text, simple=False)) is None:
                 return got
             parts.append(part[0])
             text = part[1]
@@ -239,28 +239,28 @@
     return got
 
 
-sent = st.lists(st.lists(values, min_size=1, max_size=5).map(array), min_size=1, max_size=3).map(b"".join)
+commands = st.lists(st.lists(values, min_size=1, max_size=5).map(array), min_size=1, max_size=3).map(b"".join)
 
 
-@quiet
-@given(sent, cut)
-def test_good_commands_cut_anywhere_read_as_they_were_made(text: bytes, cuts: set[int]) -> None:
-    assert taken(pieces(text, cuts)) == commands_of(text)
+@examples
+@given(commands, cut)
+def test_valid_commands_split_anywhere_are_read_as_they_were_built(text: bytes, cuts: set[int]) -> None:
+    assert read(pieces(text, cuts)) == commands_of(text)
 
 
-@quiet
-@given(sent, st.integers(0, 600), st.binary(min_size=0, max_size=2), st.integers(0, 2), cut)
-def test_commands_with_bytes_changed_read_by_the_grammar_or_fail(
-    text: bytes, at: int, put: bytes, away: int, cuts: set[int]
+@examples
+@given(commands, st.integers(0, 600), st.binary(min_size=0, max_size=2), st.integers(0, 2), cut)
+def test_changed_commands_are_read_by_the_grammar_or_fail(
+    text: bytes, at: int, inserted: bytes, removed: int, cuts: set[int]
 ) -> None:
     at %= len(text)
-    spoilt = text[:at] + put + text[at + away :]
-    lists = [m for m in taken(pieces(spoilt, cuts)) if isinstance(m, list) and m]
-    assert [m for m in lists if all(isinstance(p, bytes) for p in m)] == commands_of(spoilt)
+    changed = text[:at] + inserted + text[at + removed :]
+    lists = [m for m in read(pieces(changed, cuts)) if isinstance(m, list) and m]
+    assert [m for m in lists if all(isinstance(p, bytes) for p in m)] == commands_of(changed)
 
 
 @pytest.mark.parametrize(
-    "spoilt",
+    "invalid",
     [
         b"*1\r\n$4\r\nPINGXY",
         b"*1\r\n$4\r\nPING\n\n",
@@ -271,11 +271,11 @@
         b"*1\r\n$4\r\r\nPING\r\n",
     ],
 )
-def test_a_command_that_breaks_the_grammar_gets_an_error_and_a_close(spoilt: bytes) -> None:
+def test_an_invalid_command_gets_an_error_and_the_connection_is_closed(invalid: bytes) -> None:
     async def scenario() -> None:
         async with RouterHarness() as router:
             client = await router.client()
-            client.write(command("PING") + spoilt + command("PING"))
+            client.write(command("PING") + invalid + command("PING"))
             assert await client.resp() == b"PONG"
             assert error(await client.resp()).startswith("ERR")
             assert await client.wait_closed()
