--- a/tests/test_grammar_http.py
+++ b/tests/test_grammar_http.py
@@ -1,7 +1,7 @@
-"""HTTP answers are read as RFC 9112 says, however they come, and all else is no answer.
+"""HTTP answers are read as RFC 9112 says, in pieces of any size, and everything else is rejected.
 
-What it says is written down once more in `Reference`, which takes a whole text, byte by byte, and shares
-nothing but bounds with the code under test.
+`Reference` implements the RFC a second time: it reads a whole text byte by byte, and shares only limits with
+the code under test.
 """
 
 from __future__ import annotations
@@ -23,29 +23,29 @@
 
 OK = b"HTTP/1.1 200 OK\r\n"
 CHUNKED = OK + b"Transfer-Encoding: chunked\r\n\r\n"
-MOST = 64 * 1024  # bytes of a body
-ROOM = MAX_FRAMING - len(OK + b"X: \r\n\r\n")
+MAX_BODY = 64 * 1024  # bytes
+MAX_FIELD = MAX_FRAMING - len(OK + b"X: \r\n\r\n")
 PIECES = pytest.mark.parametrize("piece", [1, 7, 99999])
 
 
-def asked() -> HttpClient:
-    """A client that waits for its answer."""
-    client = HttpClient("127.0.0.1:1", MOST)
+def waiting_client() -> HttpClient:
+    """Return a client that waits for its answer."""
+    client = HttpClient("127.0.0.1:1", MAX_BODY)
     client.request("GET", "/k", [])
     return client
 
 
 def read(client: HttpClient, text: bytes, piece: int = 99999, ended: bool = True) -> Response | None:
-    """What a client makes of an answer in pieces of a size, with its connection's end or not."""
+    """Feed an answer to a client in pieces of a size, and the end of the connection if `ended`."""
     for at in range(0, len(text), piece):
         if (response := client.receive(text[at : at + piece])) is not None:
             return response
     return client.receive(b"") if ended else None
 
 
-def refused(text: bytes, piece: int) -> None:
+def assert_rejected(text: bytes, piece: int) -> None:
     with pytest.raises(HttpError):
-        read(asked(), text, piece)
+        read(waiting_client(), text, piece)
 
 
 @PIECES
@@ -55,8 +55,8 @@
         OK.replace(b"\r", b"") + b"Content-Length: 5\n\nvalue",
         OK + b"Content-Length: 5\n\nvalue",
         OK + b"Content-Length: 5\r\n\nvalue",
-        OK + b"Content-Length: 5\n\r\n\r\nvalue",  # was read as another body
-        OK + b"X: a\r\n Content-Length: 5\r\n\r\nvalue",  # was read as having no length
+        OK + b"Content-Length: 5\n\r\n\r\nvalue",  # used to be read as another body
+        OK + b"X: a\r\n Content-Length: 5\r\n\r\nvalue",  # used to be read as having no length
         OK + b"Content-Length: 5\r\nX: a\r\n\tb\r\n\r\nvalue",
         OK + b"Content-Length: 5\r\nX: a\x01b\r\n\r\nvalue",
         OK + b"Content-Length: 5\r\nX: a\x7f\r\n\r\nvalue",
@@ -76,19 +76,19 @@
         CHUNKED + b"5\r\nvalue\r\n0\r\nX: a\r\n b\r\n\r\n",
     ],
 )
-def test_text_that_is_not_of_the_grammar_is_no_answer(text: bytes, piece: int) -> None:
-    """Who reads line ends or folds in another way than the sender finds another body."""
-    refused(text, piece)
+def test_text_outside_the_grammar_is_rejected(text: bytes, piece: int) -> None:
+    """A reader that takes line ends or folding otherwise than the sender finds another body."""
+    assert_rejected(text, piece)
 
 
 @PIECES
-def test_a_head_has_a_bound_however_it_comes(piece: int) -> None:
-    """One that came at once was read at any length."""
-    head = OK + b"X: " + b"x" * ROOM + b"\r\n\r\n"
-    response = read(asked(), head + b"value", piece)
+def test_a_head_is_limited_in_pieces_of_any_size(piece: int) -> None:
+    """A head that arrived in one piece used to be read at any length."""
+    head = OK + b"X: " + b"x" * MAX_FIELD + b"\r\n\r\n"
+    response = read(waiting_client(), head + b"value", piece)
     assert response is not None and response.body == b"value"
-    refused(head.replace(b"x", b"xx", 1), piece)
-    refused(CHUNKED + b"0\r\nX: " + b"x" * MAX_FRAMING + b"\r\n\r\n", piece)
+    assert_rejected(head.replace(b"x", b"xx", 1), piece)
+    assert_rejected(CHUNKED + b"0\r\nX: " + b"x" * MAX_FRAMING + b"\r\n\r\n", piece)
 
 
 @PIECES
@@ -107,33 +107,35 @@
         b"HTTP/1.1 100 C\r\nContent-Length: 5, 5\r\n\r\n" + OK + b"Content-Length: 5\r\n\r\nvalue",
     ],
 )
-def test_an_answer_tells_its_length_once_and_in_one_way(text: bytes, piece: int) -> None:
-    """Whoever told it twice had two lengths in mind, or something on the way had."""
-    refused(text, piece)
+def test_an_answer_with_more_than_one_length_is_rejected(text: bytes, piece: int) -> None:
+    """The sender, or something on the way, may go by the other length: response smuggling."""
+    assert_rejected(text, piece)
 
 
 @PIECES
-def test_only_so_many_informational_answers_are_skipped(piece: int) -> None:
-    """A peer that sends them without end kept the router reading without an answer."""
+def test_the_number_of_informational_answers_is_limited(piece: int) -> None:
+    """A server that sends them without end kept the router reading without an answer."""
     head, answer = b"HTTP/1.1 103 Early Hints\r\nLink: a\r\n\r\n", OK + b"Content-Length: 5\r\n\r\nvalue"
-    client = asked()
-    for _ in range(2):  # the count is of one answer, not of the connection
+    client = waiting_client()
+    for _ in range(2):  # the limit is per answer, not per connection
         response = read(client, head * MAX_INFORMATIONAL + answer, piece, ended=False)
         assert response is not None and response.body == b"value" and client.reusable()
         client.request("GET", "/k", [])
-    refused(head * (MAX_INFORMATIONAL + 1) + answer, piece)
+    assert_rejected(head * (MAX_INFORMATIONAL + 1) + answer, piece)
 
 
-def test_a_repeated_field_is_the_list_of_its_values() -> None:
-    """The last alone was told: after `Not-Started: 0`, `Not-Started: 1` let a write be sent again."""
-    response = read(asked(), OK + b"Not-Started: 0\r\nX: a\r\nnot-started: 1\r\nContent-Length: 0\r\n\r\n")
+def test_values_of_a_repeated_field_are_joined() -> None:
+    """Only the last was kept: after `Not-Started: 0`, `Not-Started: 1` let a write be sent again."""
+    response = read(
+        waiting_client(), OK + b"Not-Started: 0\r\nX: a\r\nnot-started: 1\r\nContent-Length: 0\r\n\r\n"
+    )
     assert response is not None and response.headers[b"not-started"] == b"0, 1"
 
 
 @PIECES
 @pytest.mark.parametrize("end", [b"Content-Length: 5\r\n\r\n", b"\r\n"])
-def test_an_ended_connection_carries_no_more(end: bytes, piece: int) -> None:
-    client = asked()
+def test_a_closed_connection_is_not_reused(end: bytes, piece: int) -> None:
+    client = waiting_client()
     response = read(client, OK + end + b"value", piece, ended=False)
     assert client.reusable() == (response is not None)
     with contextlib.suppress(HttpError):
@@ -169,10 +171,10 @@
         (b"HTTP/1.1 599 X\r\nContent-Length: 5\r\n\r\nvalue", 599, b"value", True),
     ],
 )
-def test_all_forms_of_an_answer_are_read(
+def test_all_forms_of_an_answer_are_accepted(
     text: bytes, status: int, body: bytes, reusable: bool, piece: int
 ) -> None:
-    client = asked()
+    client = waiting_client()
     response = read(client, text, piece)
     assert response is not None and (response.status, response.body) == (status, body)
     assert client.reusable() == reusable
@@ -253,9 +255,9 @@
         b"http/1.1 200 OK\r\n\r\nvalue",
     ],
 )
-def test_what_h11_refuses_stays_refused(text: bytes, piece: int) -> None:
-    """Another version of h11 must not loosen these."""
-    refused(text, piece)
+def test_what_h11_rejects_stays_rejected(text: bytes, piece: int) -> None:
+    """Guards against another version of h11 that would accept these."""
+    assert_rejected(text, piece)
 
 
 @pytest.mark.parametrize(
@@ -266,12 +268,12 @@
         (OK + b"Transfer-Encoding: chunked\r\n\r\n%x\r\n", b"\r\n0\r\n\r\n"),
     ],
 )
-def test_a_body_has_a_bound(begin: bytes, end: bytes) -> None:
-    for size in (MOST, MOST + 1):
+def test_a_body_is_limited(begin: bytes, end: bytes) -> None:
+    for size in (MAX_BODY, MAX_BODY + 1):
         head = begin % size if b"%" in begin else begin
-        with contextlib.nullcontext() if size == MOST else pytest.raises(HttpError):
-            response = read(asked(), head + b"v" * size + end, 999)
-            assert response is not None and len(response.body) == MOST
+        with contextlib.nullcontext() if size == MAX_BODY else pytest.raises(HttpError):
+            response = read(waiting_client(), head + b"v" * size + end, 999)
+            assert response is not None and len(response.body) == MAX_BODY
 
 
 @pytest.mark.parametrize(
@@ -284,31 +286,31 @@
         (b"HTTP/1.1 304 Not Modified\r\nContent-Length: 5\r\n\r\n", b""),
     ],
 )
-@pytest.mark.parametrize("rest", [b"\n", b"value", OK + b"Content-Length: 5\r\n\r\nother", b"x" * 99999])
-def test_bytes_beyond_an_answer_are_no_part_of_it(answer: bytes, body: bytes, rest: bytes) -> None:
-    """The connection carries no further request: its answer could not be told from the rest."""
-    client = asked()
-    response = read(client, answer + rest, ended=False)
+@pytest.mark.parametrize("extra", [b"\n", b"value", OK + b"Content-Length: 5\r\n\r\nother", b"x" * 99999])
+def test_bytes_after_an_answer_are_not_part_of_it(answer: bytes, body: bytes, extra: bytes) -> None:
+    """The connection is not reused: the next answer could not be told from the bytes left over."""
+    client = waiting_client()
+    response = read(client, answer + extra, ended=False)
     assert response is not None and response.body == body and not client.reusable()
 
 
-PLAIN = {9, *range(0x20, 0x7F), *range(0x80, 0x100)}  # what a line's text may hold
-WORD = set(b"!#$%&'*+-.^_`|~" + b"0123456789ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz")
+TEXT = {9, *range(0x20, 0x7F), *range(0x80, 0x100)}  # bytes allowed in the text of a line
+TOKEN = set(b"!#$%&'*+-.^_`|~" + b"0123456789ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz")
 DIGITS, HEX, SPACE = set(b"0123456789"), set(b"0123456789abcdefABCDEF"), set(b" \t")
-LONGEST_NUMBER = 20  # digits; the RFC leaves the bound to the reader
+LONGEST_NUMBER = 20  # digits; the RFC leaves the limit to the reader
 
 
-class NoAnswerError(Exception):
-    """The text is none, or not the whole of one."""
+class InvalidAnswerError(Exception):
+    """The text is not an answer, or not a whole one."""
 
 
-def need(right: bool) -> None:
-    if not right:
-        raise NoAnswerError
+def require(condition: bool) -> None:
+    if not condition:
+        raise InvalidAnswerError
 
 
 class Reference:
-    """Reads one answer from all the bytes that came."""
+    """Reads one answer from all the bytes that arrived."""
 
     def __init__(self, text: bytes, ended: bool) -> None:
         self.text = text
@@ -316,21 +318,21 @@
         self.at = 0
 
     def answer(self) -> Response:
-        """The answer; `at` is its end then."""
+        """Return the answer, and leave `at` at its end."""
         for _ in range(MAX_INFORMATIONAL + 1):
-            began = self.at
+            start = self.at
             minor, status = self.status_line()
             fields = self.fields()
-            need(self.at - began <= MAX_FRAMING)
+            require(self.at - start <= MAX_FRAMING)
             lengths = [v for n, v in fields if n == b"content-length"]
             codings = [v for n, v in fields if n == b"transfer-encoding"]
-            need(len(lengths) + len(codings) <= 1)
-            need(all(v and len(v) <= LONGEST_NUMBER and set(v) <= DIGITS for v in lengths))
-            need(all(v == b"chunked" and minor for v in codings))
-            need(status >= 100 and status != 101)
+            require(len(lengths) + len(codings) <= 1)
+            require(all(v and len(v) <= LONGEST_NUMBER and set(v) <= DIGITS for v in lengths))
+            require(all(v == b"chunked" and minor for v in codings))
+            require(status >= 100 and status != 101)
             if status >= 200:
                 break
-        need(status >= 200)
+        require(status >= 200)
         if status in (204, 304):
             body = b""
         elif codings:
@@ -338,66 +340,66 @@
         elif lengths:
             body = self.take(int(lengths[0]))
         else:
-            need(self.ended)
+            require(self.ended)
             body = self.take(len(self.text) - self.at)
-        need(len(body) <= MOST)
+        require(len(body) <= MAX_BODY)
         return Response(status, {n: b", ".join(v for m, v in fields if m == n) for n, _ in fields}, body)
 
     def take(self, size: int) -> bytes:
-        need(len(self.text) - self.at >= size)
+        require(len(self.text) - self.at >= size)
         self.at += size
         return self.text[self.at - size : self.at]
 
     def line(self) -> bytes:
         end = self.text.find(b"\r\n", self.at)
-        need(end >= 0)
+        require(end >= 0)
         line = self.take(end - self.at)
-        need(set(line) <= PLAIN)
+        require(set(line) <= TEXT)
         self.take(2)
         return line
 
     def status_line(self) -> tuple[int, int]:
         line = self.line()
-        need(len(line) >= 13 and line[:7] == b"HTTP/1." and line[8:9] == line[12:13] == b" ")
-        need(set(line[7:8] + line[9:12]) <= DIGITS)
+        require(len(line) >= 13 and line[:7] == b"HTTP/1." and line[8:9] == line[12:13] == b" ")
+        require(set(line[7:8] + line[9:12]) <= DIGITS)
         return int(line[7:8]), int(line[9:12])
 
     def fields(self) -> list[tuple[bytes, bytes]]:
         fields = []
         while line := self.line():
             name, colon, value = line.partition(b":")
-            need(bool(name and colon) and set(name) <= WORD)
+            require(bool(name and colon) and set(name) <= TOKEN)
             name, value = name.lower(), value.strip(b" \t")
-            fields.append((name, value.lower() if name == b"transfer-encoding" else value))  # in any case
+            fields.append((name, value.lower() if name == b"transfer-encoding" else value))  # any case
         return fields
 
     def chunks(self) -> bytes:
         body = b""
         while True:
-            began = self.at
+            start = self.at
             size = self.chunk_size()
             if size == 0:
                 break
             body += self.take(size)
-            need(self.take(2) == b"\r\n")
+            require(self.take(2) == b"\r\n")
         trailers = self.fields()
-        need(self.at - began <= MAX_FRAMING)
-        need(not any(n in (b"content-length", b"transfer-encoding") for n, _ in trailers))
+        require(self.at - start <= MAX_FRAMING)
+        require(not any(n in (b"content-length", b"transfer-encoding") for n, _ in trailers))
         return body
 
     def chunk_size(self) -> int:
         line = self.line()
         digits = next((i for i, c in enumerate(line) if c not in HEX), len(line))
-        need(0 < digits <= LONGEST_NUMBER)
-        # the RFC lets space stand before the semicolon, and asks nobody to write it; h11 refuses it here
-        need(line[digits : digits + 1] in (b"", b";"))
+        require(0 < digits <= LONGEST_NUMBER)
+        # the RFC allows white space before the semicolon, but tells senders not to write it; h11 rejects it
+        require(line[digits : digits + 1] in (b"", b";"))
         self.extensions(line[digits:])
         return int(line[:digits], 16)
 
     def extensions(self, line: bytes) -> None:
         while line:
             line = line.lstrip(b" \t")
-            need(line[:1] == b";")
+            require(line[:1] == b";")
             line = self.word(line[1:].lstrip(b" \t"))
             if not line.lstrip(b" \t").startswith(b"="):
                 continue
@@ -406,37 +408,37 @@
 
     @staticmethod
     def word(line: bytes) -> bytes:
-        """What follows a token."""
-        size = next((i for i, c in enumerate(line) if c not in WORD), len(line))
-        need(size > 0)
+        """Return what follows a token."""
+        size = next((i for i, c in enumerate(line) if c not in TOKEN), len(line))
+        require(size > 0)
         return line[size:]
 
     @staticmethod
     def quoted(line: bytes) -> bytes:
-        """What follows a quoted string, after its first quote."""
+        """Return what follows a quoted string, whose first quote has been read."""
         at = 0
         while line[at : at + 1] != b'"':
             at += 2 if line[at : at + 1] == b"\\" else 1
-            need(at < len(line))
+            require(at < len(line))
         return line[at + 1 :]
 
 
 def reference(text: bytes, ended: bool) -> tuple[Response, bytes] | None:
-    """The answer and the bytes beyond it."""
+    """Return the answer and the bytes after it, None if there is none."""
     reader = Reference(text, ended)
     try:
         return reader.answer(), text[reader.at :]
-    except NoAnswerError:
+    except InvalidAnswerError:
         return None
 
 
 @dataclass
 class Message:
-    """A good answer, and what it was made from."""
+    """A valid answer, and what it was built from."""
 
     text: bytes
     response: Response
-    ends: bool  # with its connection
+    until_close: bool  # its body ends with the connection
 
 
 BITS = [b"v", b"\r\n", b"0", b"0\r\n\r\n", b"\n", b"\r", b"HTTP/1.1 200 OK\r\n\r\n", b"\0", b"\xff"]
@@ -448,7 +450,7 @@
 
 @st.composite
 def lines(draw: st.DrawFn) -> tuple[bytes, list[tuple[bytes, bytes]]]:
-    """Fields that say nothing of the body: their text, and what it tells."""
+    """Header fields unrelated to the body: their text, and names with values."""
     fields = draw(st.lists(st.tuples(NAMES, SPACES, VALUES, SPACES), max_size=3))
     text = b"".join(n + b":" + a + v + z + b"\r\n" for n, a, v, z in fields)
     return text, [(n.lower(), v) for n, _, v, _ in fields]
@@ -482,40 +484,40 @@
     else:
         framed, headers = body, []
     minor = b"1" if form == "chunked" else draw(st.sampled_from([b"1", b"1", b"0", b"9"]))
-    before, told = draw(lines())
-    after, more = draw(lines())
+    before, earlier = draw(lines())
+    after, later = draw(lines())
     text += b"HTTP/1." + minor + b" %d " % status + draw(VALUES) + b"\r\n"
     text += before + (field + b"\r\n" if field else b"") + after + b"\r\n" + framed
     table: dict[bytes, bytes] = {}
-    for name, value in (*told, *headers, *more):
+    for name, value in (*earlier, *headers, *later):
         table[name] = table[name] + b", " + value if name in table else value
     return Message(text, Response(status, table, body), form == "end" and status not in (204, 304))
 
 
 @st.composite
 def changed(draw: st.DrawFn) -> bytes:
-    """A good answer with one byte or one line changed, and perhaps more after it."""
+    """A valid answer with one byte or line changed, cut short, or followed by more."""
     text = draw(messages()).text
     at = draw(st.integers(0, len(text) - 1))
     byte = bytes([draw(st.sampled_from(BYTES))])
     begins = [i + 2 for i in range(len(text) - 1) if text[i : i + 2] == b"\r\n"]
     begin = draw(st.sampled_from(begins))
-    how = draw(st.sampled_from(CHANGES))
-    if how == "replace":
+    change = draw(st.sampled_from(CHANGES))
+    if change == "replace":
         return text[:at] + byte + text[at + 1 :]
-    if how == "insert":
+    if change == "insert":
         return text[:at] + byte + text[at:]
-    if how == "leave out":
+    if change == "delete":
         return text[:at] + text[at + 1 :]
-    if how == "add a line":
+    if change == "add a line":
         return text[:begin] + draw(st.sampled_from(LINES)) + b"\r\n" + text[begin:]
-    if how == "repeat a line":
+    if change == "repeat a line":
         end = text.find(b"\r\n", begin)
         return text[:begin] + (text[begin : end + 2] if end >= 0 else text[begin:]) + text[begin:]
-    return text[:at] if how == "cut" else text + draw(st.sampled_from(BITS)) + text
+    return text[:at] if change == "cut" else text + draw(st.sampled_from(BITS)) + text
 
 
-CHANGES = ["replace", "insert", "leave out", "add a line", "repeat a line", "cut", "go on"]
+CHANGES = ["replace", "insert", "delete", "add a line", "repeat a line", "cut", "append"]
 BYTES = b'\r\n\t ;:,=+-0159aAfFgx"\\\0\x0b\x0c\x1c\x7f\x80\x85\xa0'
 LINES = [
     *(b"Content-Length: " + v for v in (b"", b"0", b"1", b"+1", b"-1", b"1, 1", b"1 1", b"0x1", b"1" * 21)),
@@ -524,37 +526,35 @@
     *(b"0", b"1", b"-1", b"+1", b"0x1", b"1;", b"1 ", b"1;a=", b"1" * 21, b"HTTP/1.1 100 C\r\n", b""),
 ]
 CUTS = st.lists(st.integers(0, 400), max_size=6)
-FEW = settings(max_examples=150, derandomize=True, deadline=None, database=None)
+EXAMPLES = settings(max_examples=150, derandomize=True, deadline=None, database=None)
 
 
 def pieces(text: bytes, cuts: list[int]) -> list[bytes]:
-    """A text cut at places, with no empty piece."""
+    """Split a text at several places, without empty pieces."""
     places = sorted({0, len(text), *(c % (len(text) + 1) for c in cuts)})
     return [text[a:z] for a, z in zip(places, places[1:], strict=False)]
 
 
-@FEW
+@EXAMPLES
 @given(messages(), CUTS)
-def test_a_good_answer_is_read_as_it_was_made_wherever_it_is_cut(message: Message, cuts: list[int]) -> None:
-    assert reference(message.text, ended=message.ends) == (message.response, b"")
-    client = asked()
+def test_a_valid_answer_split_anywhere_is_read_as_it_was_built(message: Message, cuts: list[int]) -> None:
+    assert reference(message.text, ended=message.until_close) == (message.response, b"")
+    client = waiting_client()
     *firsts, last = pieces(message.text, cuts)
     assert all(client.receive(p) is None for p in firsts)
     response = client.receive(last)
-    if message.ends:
+    if message.until_close:
         assert response is None
         response = client.receive(b"")
     assert response == message.response
 
 
-@FEW
+@EXAMPLES
 @given(changed(), CUTS, st.booleans())
-def test_a_changed_answer_is_read_as_the_grammar_says_or_fails(
-    text: bytes, cuts: list[int], ended: bool
-) -> None:
-    """Without the end, what came is all there is before a reset."""
+def test_a_changed_answer_is_read_by_the_grammar_or_fails(text: bytes, cuts: list[int], ended: bool) -> None:
+    """Unless `ended`, the bytes are all that arrives before a reset."""
     expected = reference(text, ended)
-    client, response = asked(), None
+    client, response = waiting_client(), None
     with contextlib.suppress(HttpError):
         for piece in pieces(text, cuts):
             response = client.receive(piece)
@@ -565,10 +565,10 @@
     assert response == (expected and expected[0])
 
 
-@FEW
+@EXAMPLES
 @given(changed())
-def test_no_request_follows_on_bytes_beyond_an_answer(text: bytes) -> None:
-    client, response = asked(), None
+def test_a_connection_with_bytes_after_an_answer_is_not_reused(text: bytes) -> None:
+    client, response = waiting_client(), None
     with contextlib.suppress(HttpError):
         response = client.receive(text)
     whole = reference(text, ended=False)
@@ -578,33 +578,31 @@
 
 @pytest.mark.parametrize("one_turn", [True, False], ids=["one turn", "two turns"])
 @pytest.mark.parametrize("reset", [True, False], ids=["reset", "orderly"])
-def test_a_list_without_a_length_ends_with_its_connection_and_not_with_a_reset(
-    reset: bool, one_turn: bool
-) -> None:
-    """A list cut short on its way could still be one, with servers left out."""
+def test_a_list_without_a_length_ends_with_a_close_but_not_with_a_reset(reset: bool, one_turn: bool) -> None:
+    """A list truncated by a reset could still be valid, with servers missing."""
     text = OK + b"\r\n" + b'{"index":7,"snapshot":true,"endpoints":[]}'
 
     async def scenario() -> None:
         loop = asyncio.get_running_loop()
-        news: asyncio.Queue[api.ListKind | None] = asyncio.Queue()
+        lists: asyncio.Queue[api.ListKind | None] = asyncio.Queue()
         with socket.create_server(("127.0.0.1", 0)) as server:
             server.setblocking(False)
             address = format_address(server.getsockname())
             watch = Discovery(
-                address, 0, lambda kind, _: news.put_nowait(kind), lambda: news.put_nowait(None)
+                address, 0, lambda kind, _: lists.put_nowait(kind), lambda: lists.put_nowait(None)
             )
             watch.subscribe()
-            peer, _ = await loop.sock_accept(server)
+            accepted, _ = await loop.sock_accept(server)
             request = b""
             while not request.endswith(b"\r\n\r\n"):
-                request += await loop.sock_recv(peer, 4096)
-            peer.sendall(text)
+                request += await loop.sock_recv(accepted, 4096)
+            accepted.sendall(text)
             for _ in range(0 if one_turn else 99):  # turns of the loop, in which the bytes are read
                 await asyncio.sleep(0)
             if reset:
-                peer.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-            peer.close()
-            assert await news.get() == (None if reset else api.ListKind.FULL)
+                accepted.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+            accepted.close()
+            assert await lists.get() == (None if reset else api.ListKind.FULL)
             watch.close()
             assert watch.watch is None or await asyncio.wait([watch.watch])
 
