--- a/tests/test_net_turns.py
+++ b/tests/test_net_turns.py
@@ -15,7 +15,7 @@
 from brackenwalk.net import listener
 from brackenwalk.net.clients import PIECE, READ_PER_TURN, ClientConnection
 from tests.loopback import HIT, Link, RouterHarness, command, read, run
-from tests.test_terms_clients import NEVER, Roomy, at_once, leave_at_once, paused, turns
+from tests.test_terms_clients import NEVER_S, LargeHarness, close_now, paused_client, run_loop, send_now
 
 FLOOD = 600  # commands that one client sends at once
 NO_COMMAND = read("flood", info="c=unheard-of,d=900")  # refused at once, so that no answer is waited for
@@ -38,8 +38,8 @@
 async def flooded(router: RouterHarness, takes: Takes) -> Link:
     """A client that has sent a flood, of which the first commands have just been taken."""
     flooding = await router.client()
-    await turns()
-    at_once(flooding, NO_COMMAND * FLOOD)
+    await run_loop()
+    send_now(flooding, NO_COMMAND * FLOOD)
     while not takes.order:
         await asyncio.sleep(0)
     return flooding
@@ -51,10 +51,10 @@
     async def scenario() -> None:
         async with RouterHarness() as router:
             flooding, other = await router.client(), await router.client()
-            await turns()
+            await run_loop()
             takes = Takes(monkeypatch)
-            at_once(flooding, NO_COMMAND * FLOOD)
-            at_once(other, command("PING"))
+            send_now(flooding, NO_COMMAND * FLOOD)
+            send_now(other, command("PING"))
             assert await other.resp() == b"PONG"
             assert len(takes.order) <= 4 * READ_PER_TURN
             for _ in range(FLOOD):
@@ -67,8 +67,8 @@
     async def scenario() -> None:
         async with RouterHarness() as router:
             takes = Takes(monkeypatch)
-            leave_at_once(await flooded(router, takes))
-            await turns()
+            close_now(await flooded(router, takes))
+            await run_loop()
             assert len(takes.order) <= READ_PER_TURN and not router.listener.connections
 
     run(scenario)
@@ -111,11 +111,11 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """A dial that ended between two looks had its request written, for a client that had left before."""
-    monkeypatch.setattr(listener, "LOOK", NEVER)
+    monkeypatch.setattr(listener, "LOOK", NEVER_S)
 
     async def scenario() -> None:
-        async with Roomy() as router:
-            client, out = await paused(router)
+        async with LargeHarness() as router:
+            client, out = await paused_client(router)
             loop, gate = asyncio.get_running_loop(), asyncio.Event()
             connect = loop.create_connection
 
@@ -124,14 +124,14 @@
                 return await connect(*args)
 
             monkeypatch.setattr(loop, "create_connection", held_back)
-            at_once(out[b"r0"], b"*3\r\n$-1\r\n$4\r\nmiss\r\n$-1\r\n")
+            send_now(out[b"r0"], b"*3\r\n$-1\r\n$4\r\nmiss\r\n$-1\r\n")
             while not router.origins.dials:
                 await asyncio.sleep(0)
-            leave_at_once(client)
+            close_now(client)
             gate.set()
             while router.origins.dials:
                 await asyncio.sleep(0)
-            await turns()
+            await run_loop()
             assert not router.origins.connections and not router.host.router.held
             assert router.origin.links.empty() or await (await router.origin.link()).wait_closed()
 
--- a/tests/test_terms_clients.py
+++ b/tests/test_terms_clients.py
@@ -38,28 +38,28 @@
 from tests.test_net_discovery import LINE
 from tests.test_wirehost import CONF
 
-LONG = "c=read,t=x,d=60000"
-NEVER = 3600.0
-TURNS = 20  # of the loop: more than any step from one event to the write that it leads to
+LONG_DEADLINE = "c=read,t=x,d=60000"
+NEVER_S = 3600.0
+LOOP_TURNS = 20  # of the loop: more than any step from one event to the write that it leads to
 
 
-def at_once(link: Link, data: bytes) -> None:
+def send_now(link: Link, data: bytes) -> None:
     """Write so that the data is in the system when this returns."""
     assert link.writer.get_extra_info("socket")._sock.send(data) == len(data)
 
 
-def leave_at_once(link: Link) -> None:
+def close_now(link: Link) -> None:
     """End the connection so that the end is in the system when this returns."""
     link.writer.get_extra_info("socket").shutdown(socket.SHUT_WR)
 
 
-async def turns(count: int = TURNS) -> None:
+async def run_loop(count: int = LOOP_TURNS) -> None:
     """Let the loop turn, with no time to wait for."""
     for _ in range(count):
         await asyncio.sleep(0)
 
 
-class Skip:
+class SkippedClock:
     """Lets the loop's clock jump ahead."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -67,12 +67,12 @@
         self.skipped, time = 0.0, loop.time
         monkeypatch.setattr(loop, "time", lambda: time() + self.skipped)
 
-    async def ahead(self, seconds: float) -> None:
+    async def advance(self, seconds: float) -> None:
         self.skipped += seconds
-        await turns()
+        await run_loop()
 
 
-class Raw:
+class RawClient:
     """A client whose every byte and end is seen as the system tells it."""
 
     def __init__(self, router: RouterHarness, room: int | None = None) -> None:
@@ -85,14 +85,14 @@
     def send(self, data: bytes) -> None:
         assert self.socket.send(data) == len(data)
 
-    async def heard(self) -> bytes:
+    async def read_all(self) -> bytes:
         """What comes up to the router's end; a reset is an error."""
         data = b""
         while more := await asyncio.get_running_loop().sock_recv(self.socket, 65_536):
             data += more
         return data
 
-    async def shown(self) -> Self:
+    async def ping(self) -> Self:
         """Once it has been answered."""
         self.send(command("PING"))
         assert await asyncio.get_running_loop().sock_recv(self.socket, 100) == b"+PONG\r\n"
@@ -105,17 +105,19 @@
         self.socket.close()
 
 
-def unused(router: RouterHarness) -> bool:
+def all_unused(router: RouterHarness) -> bool:
     """Whether no server has a connection that no test has taken in hand, and none is being made."""
     peers = (*router.caches.values(), router.origin)
     dials = router.servers.dials | router.origins.dials
     return all(p.links.empty() for p in peers) and not dials
 
 
-async def paused(router: RouterHarness, commands: int = 2 * MAX_PIPELINED) -> tuple[Link, dict[bytes, Link]]:
+async def paused_client(
+    router: RouterHarness, commands: int = 2 * MAX_PIPELINED
+) -> tuple[Link, dict[bytes, Link]]:
     """A client that is not read from, with more commands than are taken, and the attempts of those."""
     client = await router.client()
-    client.write(b"".join(read(f"r{n}", f"k{n}", LONG) for n in range(commands)))
+    client.write(b"".join(read(f"r{n}", f"k{n}", LONG_DEADLINE) for n in range(commands)))
     out: dict[bytes, Link] = {}
 
     async def collect(peer: ScriptedServer) -> None:
@@ -136,13 +138,13 @@
 # A client that has gone: no attempt begins more than 0.1 s later
 
 
-ROOMY = replace(SETTINGS, second_copies=False)
+ONE_COPY = replace(SETTINGS, second_copies=False)
 
 
-class Roomy(RouterHarness):
+class LargeHarness(RouterHarness):
     """With places at the caches for all that one client may have out, and a copy of none."""
 
-    def __init__(self, settings: Any = ROOMY) -> None:
+    def __init__(self, settings: Any = ONE_COPY) -> None:
         super().__init__(settings)
         self.servers.budget = 64
 
@@ -156,12 +158,12 @@
     """Looks came each 0.1 s: with the turn of a busy loop on top, attempts began later than that."""
 
     async def scenario() -> None:
-        async with Roomy() as router:
-            skip = Skip(monkeypatch)
-            client, _ = await paused(router)
-            await skip.ahead(0.1)  # a look has just been, and the next is as far off as it gets
-            leave_at_once(client)
-            await skip.ahead(0.05)
+        async with LargeHarness() as router:
+            clock = SkippedClock(monkeypatch)
+            client, _ = await paused_client(router)
+            await clock.advance(0.1)  # a look has just been, and the next is as far off as it gets
+            close_now(client)
+            await clock.advance(0.05)
             assert not router.listener.connections and not router.host.router.held
 
     run(scenario)
@@ -169,33 +171,33 @@
 
 def test_no_further_attempt_begins_before_a_look(monkeypatch: pytest.MonkeyPatch) -> None:
     """A miss that came behind the client's end went on to the origin."""
-    monkeypatch.setattr(listener, "LOOK", NEVER)
+    monkeypatch.setattr(listener, "LOOK", NEVER_S)
 
     async def scenario() -> None:
-        async with Roomy() as router:
-            client, out = await paused(router)
-            leave_at_once(client)
-            at_once(out[b"r0"], MISS)
-            at_once(out[b"r1"], b"-BUSY\r\n")
+        async with LargeHarness() as router:
+            client, out = await paused_client(router)
+            close_now(client)
+            send_now(out[b"r0"], MISS)
+            send_now(out[b"r1"], b"-BUSY\r\n")
             out[b"r2"].reset()
-            await turns()
-            assert unused(router) and not router.host.router.held
+            await run_loop()
+            assert all_unused(router) and not router.host.router.held
 
     run(scenario)
 
 
 def test_no_command_held_back_is_taken_for_a_client_that_has_left(monkeypatch: pytest.MonkeyPatch) -> None:
     """Each answer made room for a command that had waited in the router, whoever was still there."""
-    monkeypatch.setattr(listener, "LOOK", NEVER)
+    monkeypatch.setattr(listener, "LOOK", NEVER_S)
 
     async def scenario() -> None:
-        async with Roomy() as router:
-            client, out = await paused(router)
+        async with LargeHarness() as router:
+            client, out = await paused_client(router)
             taken = set(router.host.requests)
-            leave_at_once(client)
-            at_once(out[b"r0"], HIT)
-            await turns()
-            assert set(router.host.requests) <= taken and unused(router)
+            close_now(client)
+            send_now(out[b"r0"], HIT)
+            await run_loop()
+            assert set(router.host.requests) <= taken and all_unused(router)
             assert not router.listener.connections and not router.host.router.held
 
     run(scenario)
@@ -205,9 +207,9 @@
     """The dial is dropped by the look, before it could end and have the request written."""
 
     async def scenario() -> None:
-        async with Roomy() as router:
-            client, out = await paused(router)
-            loop, gate, skip = asyncio.get_running_loop(), asyncio.Event(), Skip(monkeypatch)
+        async with LargeHarness() as router:
+            client, out = await paused_client(router)
+            loop, gate, clock = asyncio.get_running_loop(), asyncio.Event(), SkippedClock(monkeypatch)
             connect = loop.create_connection
 
             async def held_back(*args: Any) -> Any:
@@ -215,15 +217,15 @@
                 return await connect(*args)
 
             monkeypatch.setattr(loop, "create_connection", held_back)
-            at_once(out[b"r0"], MISS)
+            send_now(out[b"r0"], MISS)
             while not router.origins.dials:
                 await asyncio.sleep(0)
-            await skip.ahead(0.1)
-            leave_at_once(client)
-            await skip.ahead(0.05)
+            await clock.advance(0.1)
+            close_now(client)
+            await clock.advance(0.05)
             gate.set()
-            await turns()
-            assert unused(router) and not router.origins.connections
+            await run_loop()
+            assert all_unused(router) and not router.origins.connections
 
     run(scenario)
 
@@ -233,7 +235,7 @@
     """A kept connection has the request written at once, before the loop comes to the client's end."""
 
     async def scenario() -> None:
-        async with RouterHarness(replace(ROOMY, may_cancel=False)) as router:
+        async with RouterHarness(replace(ONE_COPY, may_cancel=False)) as router:
             # kept connections everywhere: a write is served by the origin, reads by either cache
             writer = await router.client()
             writer.write(book("w1"))
@@ -259,13 +261,13 @@
             assert (await links[name].resp())[2] == b"r1"
             others = [c for c in router.servers.connections | router.origins.connections if c is not busy[0]]
             assert len(others) == 2 and all(c.exchange is None for c in others)
-            at_once(links[name], MISS if further == "to the origin" else b"-ERR failed\r\n")
-            leave_at_once(client)
+            send_now(links[name], MISS if further == "to the origin" else b"-ERR failed\r\n")
+            close_now(client)
             router.servers.dial_timeout = 0.0
-            await turns()
+            await run_loop()
             assert router.host.requests["r1"].sent <= 2 and router.host.requests["r1"].closed
             written = [c.exchange for c in others]
-            assert written == [None, None] and unused(router)
+            assert written == [None, None] and all_unused(router)
 
     run(scenario)
 
@@ -296,8 +298,8 @@
 
     async def scenario() -> None:
         async with RouterHarness(clients=8) as router:
-            with Raw(router) as client:
-                await client.shown()
+            with RawClient(router) as client:
+                await client.ping()
                 (connection,) = router.listener.connections
                 idle, crossed = ClientConnection.idle, [read("late")]
 
@@ -311,20 +313,20 @@
                 stop = None
                 others = []
                 if why == "for room":
-                    others = [await Raw(router).shown() for _ in range(7)]
+                    others = [await RawClient(router).ping() for _ in range(7)]
                 else:
                     stop = asyncio.create_task(router.listener.stop(0.0, 5.0))
-                assert await client.heard() == b""
+                assert await client.read_all() == b""
                 client.send(read("later") + b"*4\r\n$5\r\nC.G")
-                await turns()
-                assert await client.heard() == b""  # a reset would tell
+                await run_loop()
+                assert await client.read_all() == b""  # a reset would tell
                 assert connection in router.listener.lingering and not crossed
-                assert not router.host.requests and unused(router)
+                assert not router.host.requests and all_unused(router)
             if stop is not None:
                 await stop
             for other in others:
                 other.socket.close()
-            await turns()
+            await run_loop()
             assert connection not in router.listener.lingering
 
     run(scenario)
@@ -336,15 +338,15 @@
 
     async def scenario() -> None:
         async with RouterHarness() as router:
-            with Raw(router) as peer:
+            with RawClient(router) as peer:
                 sent = asyncio.create_task(
                     asyncio.get_running_loop().sock_sendall(peer.socket, junk + b"x" * (1 << 19))
                 )
-                said = await peer.heard()
+                said = await peer.read_all()
                 assert said.startswith(b"-ERR ") and said.count(b"\r\n") == 1
                 await sent
                 peer.send(read("late"))
-                await turns()
+                await run_loop()
                 assert not router.host.requests
 
     run(scenario)
@@ -355,7 +357,7 @@
 
     async def scenario() -> None:
         async with RouterHarness() as router:
-            with Raw(router, room=4096) as client:
+            with RawClient(router, room=4096) as client:
                 client.send(read("r1"))
                 cache = await router.cache()
                 await cache.resp()
@@ -371,7 +373,7 @@
                 while connection in router.listener.connections and not connection.transport.is_closing():
                     await asyncio.sleep(0)
                 client.send(read("late"))
-                assert await client.heard() == b"$%d\r\n%b\r\n" % (len(value), value)
+                assert await client.read_all() == b"$%d\r\n%b\r\n" % (len(value), value)
                 assert set(router.host.requests) <= {"r1"}
             await stop
 
@@ -383,12 +385,12 @@
 
     async def scenario() -> None:
         async with RouterHarness() as router:
-            skip = Skip(monkeypatch)
-            with Raw(router) as client:
-                await client.shown()
+            clock = SkippedClock(monkeypatch)
+            with RawClient(router) as client:
+                await client.ping()
                 stop = asyncio.create_task(router.listener.stop(0.0, 5.0))
-                assert await client.heard() == b""
-                await skip.ahead(clients.LINGER + 0.1)
+                assert await client.read_all() == b""
+                await clock.advance(clients.LINGER + 0.1)
                 assert stop.done() and not router.listener.lingering
 
     run(scenario)
@@ -399,9 +401,9 @@
 
     async def scenario() -> None:
         async with RouterHarness() as router:
-            with Raw(router) as peer:
+            with RawClient(router) as peer:
                 peer.send(b"PING\r\n")
-                assert (await peer.heard()).startswith(b"-ERR ")
+                assert (await peer.read_all()).startswith(b"-ERR ")
                 with pytest.raises((ConnectionResetError, BrokenPipeError)):
                     while True:
                         await asyncio.get_running_loop().sock_sendall(peer.socket, b"x" * 65_536)
@@ -416,14 +418,14 @@
         async with RouterHarness(clients=8) as router:
             listener, peers = router.listener, []
             for _ in range(20):
-                peers.append(await Raw(router).shown())
-                await turns()
+                peers.append(await RawClient(router).ping())
+                await run_loop()
                 assert len(listener.connections) + len(listener.lingering) <= 8
             assert len(listener.lingering) == 1 and len(listener.connections) == 7
             for peer in peers[:13]:
-                assert await peer.heard() == b""
+                assert await peer.read_all() == b""
             for peer in peers[13:]:
-                await peer.shown()
+                await peer.ping()
             for peer in peers:
                 peer.socket.close()
 
@@ -433,7 +435,7 @@
 # Idle clients that fill the descriptors
 
 
-SOCKETS = 256  # the least that a router gets
+MAX_SOCKETS = 256  # the least that a router gets
 
 
 @asynccontextmanager
@@ -447,7 +449,7 @@
     ]
     config = {**GOOD, "listen": "127.0.0.1:0", "discovery": discovery}
     config["known"] = {"index": 1, "snapshot": True, "endpoints": lines}
-    config["limits"] = {**GOOD["limits"], "sockets": SOCKETS}
+    config["limits"] = {**GOOD["limits"], "sockets": MAX_SOCKETS}
     classes = [{**c, "giveUp": 1.0} for c in CONF["classes"]]
     config["settings"] = {**CONF, "membershipMode": "automatic", "classes": classes}
     path = tmp_path / "config.json"
@@ -476,7 +478,7 @@
         tasks.append(asyncio.create_task(answer(await peer.link())))
 
 
-def crowd(address: tuple[str, int], count: int, sent: bytes) -> list[socket.socket]:
+def connect_idle(address: tuple[str, int], count: int, sent: bytes) -> list[socket.socket]:
     """Clients that connect, send no more than this, and rest."""
     idle = []
     for _ in range(count):
@@ -485,7 +487,7 @@
     return idle
 
 
-async def warnings(process: asyncio.subprocess.Process, found: list[bytes]) -> None:
+async def collect_accept_warnings(process: asyncio.subprocess.Process, found: list[bytes]) -> None:
     """Keep what the log says of accepting that failed."""
     assert process.stderr is not None
     while line := await process.stderr.readline():
@@ -499,9 +501,9 @@
 @pytest.mark.parametrize(
     ("sent", "count", "limit"),
     [
-        (PING, 400, SOCKETS),
-        (b"", 400, SOCKETS),
-        (PING + b"*4\r\n$5\r\nC.G", 150, SOCKETS),  # each may take 2 s to go on
+        (PING, 400, MAX_SOCKETS),
+        (b"", 400, MAX_SOCKETS),
+        (PING + b"*4\r\n$5\r\nC.G", 150, MAX_SOCKETS),  # each may take 2 s to go on
         (PING, 400, 96),  # fewer than was told
         (b"", 400, 96),
     ],
@@ -523,8 +525,8 @@
             servers = [asyncio.create_task(serve(p)) for p in (a, b)]
             async with program(tmp_path, [a, b], down, limit) as (process, address):
                 failed: list[bytes] = []
-                log, since = asyncio.create_task(warnings(process, failed)), loop.time()
-                idle = crowd(address, count, sent)
+                log, since = asyncio.create_task(collect_accept_warnings(process, failed)), loop.time()
+                idle = connect_idle(address, count, sent)
                 for i in range(20):
                     client = Link(*await asyncio.open_connection(*address))
                     client.write(read(f"r{i}", f"k{i}", "c=read,d=6000"))
@@ -535,7 +537,7 @@
                 process.send_signal(signal.SIGTERM)
                 assert await process.wait() == 0
                 await log
-                if limit == SOCKETS:
+                if limit == MAX_SOCKETS:
                     assert not failed
                 assert len(failed) <= 1 + (loop.time() - since) / listener.ACCEPT_PAUSE  # no spin
                 back.server.close()
@@ -563,15 +565,15 @@
                 most = max(most, len(listener.connections) + len(listener.lingering))
 
             monkeypatch.setattr(ClientConnection, "connection_made", counted)
-            idle = [await Raw(router).shown() for _ in range(7)]
-            late = [Raw(router) for _ in range(30)]  # the loop has not run since: none is accepted yet
+            idle = [await RawClient(router).ping() for _ in range(7)]
+            late = [RawClient(router) for _ in range(30)]  # the loop has not run since: none is accepted yet
             for each in late:
                 each.send(PING)
             await listener.stop(0.0, 5.0)
             for each in late:
-                assert await each.heard() == b"+PONG\r\n"
+                assert await each.read_all() == b"+PONG\r\n"
             for each in idle:
-                assert await each.heard() == b""
+                assert await each.read_all() == b""
             assert most <= 8 + 1  # with the newest
             for each in (*late, *idle):
                 each.socket.close()
@@ -584,12 +586,12 @@
 
     async def scenario() -> None:
         async with RouterHarness(clients=8) as router:
-            first, second, *others = [await Raw(router).shown() for _ in range(7)]
-            await first.shown()
-            newest = await Raw(router).shown()
-            assert await second.heard() == b""
+            first, second, *others = [await RawClient(router).ping() for _ in range(7)]
+            await first.ping()
+            newest = await RawClient(router).ping()
+            assert await second.read_all() == b""
             for each in (first, *others, newest):
-                await each.shown()
+                await each.ping()
             for each in (first, second, *others, newest):
                 each.socket.close()
 
@@ -601,11 +603,11 @@
 
     async def scenario() -> None:
         async with RouterHarness(clients=8) as router:
-            skip = Skip(monkeypatch)
-            rests, half = await Raw(router).shown(), await Raw(router).shown()
+            clock = SkippedClock(monkeypatch)
+            rests, half = await RawClient(router).ping(), await RawClient(router).ping()
             half.send(b"*4\r\n")
-            await turns()
-            await skip.ahead(clients.STALLED + 0.1)
+            await run_loop()
+            await clock.advance(clients.STALLED + 0.1)
             for connection in router.listener.connections:
                 connection.transport.abort()
             assert not router.listener._shut_one()
