--- a/tests/test_terms_clients.py
+++ b/tests/test_terms_clients.py
@@ -1,7 +1,7 @@
-"""The terms on clients: those that leave, those that fill the descriptors, and how connections are closed.
+"""Requirements on clients: those that leave, those that use up descriptors, and how connections are closed.
 
-Both ends of a connection live in one thread here: what a test sends or closes by hand is in the system
-before the router's loop turns again, so the order of events is the one written down.
+Both ends of a connection are in one thread here: what a test sends or closes by hand is in the kernel before
+the router's event loop runs again, so that events come in the order written.
 """
 
 from __future__ import annotations
@@ -40,27 +40,27 @@
 
 LONG_DEADLINE = "c=read,t=x,d=60000"
 NEVER_S = 3600.0
-LOOP_TURNS = 20  # of the loop: more than any step from one event to the write that it leads to
+LOOP_TURNS = 20  # more than any event needs until the write that it causes
 
 
 def send_now(link: Link, data: bytes) -> None:
-    """Write so that the data is in the system when this returns."""
+    """Write so that the data is in the kernel when this returns."""
     assert link.writer.get_extra_info("socket")._sock.send(data) == len(data)
 
 
 def close_now(link: Link) -> None:
-    """End the connection so that the end is in the system when this returns."""
+    """Close the sending side so that the FIN is in the kernel when this returns."""
     link.writer.get_extra_info("socket").shutdown(socket.SHUT_WR)
 
 
 async def run_loop(count: int = LOOP_TURNS) -> None:
-    """Let the loop turn, with no time to wait for."""
+    """Run some iterations of the event loop without waiting."""
     for _ in range(count):
         await asyncio.sleep(0)
 
 
 class SkippedClock:
-    """Lets the loop's clock jump ahead."""
+    """Advances the event loop's clock without waiting."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         loop = asyncio.get_running_loop()
@@ -73,27 +73,27 @@
 
 
 class RawClient:
-    """A client whose every byte and end is seen as the system tells it."""
+    """A client on a plain socket, which sees each byte, FIN and reset as the kernel reports it."""
 
     def __init__(self, router: RouterHarness, room: int | None = None) -> None:
         self.socket = socket.socket()
         if room is not None:
             self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, room)
-        self.socket.connect(router.listener.socket.getsockname())  # the system accepts
+        self.socket.connect(router.listener.socket.getsockname())  # the kernel accepts
         self.socket.setblocking(False)
 
     def send(self, data: bytes) -> None:
         assert self.socket.send(data) == len(data)
 
     async def read_all(self) -> bytes:
-        """What comes up to the router's end; a reset is an error."""
+        """Read up to the router's FIN; a reset raises."""
         data = b""
         while more := await asyncio.get_running_loop().sock_recv(self.socket, 65_536):
             data += more
         return data
 
     async def ping(self) -> Self:
-        """Once it has been answered."""
+        """Send a PING and wait for its answer."""
         self.send(command("PING"))
         assert await asyncio.get_running_loop().sock_recv(self.socket, 100) == b"+PONG\r\n"
         return self
@@ -106,23 +106,23 @@
 
 
 def all_unused(router: RouterHarness) -> bool:
-    """Whether no server has a connection that no test has taken in hand, and none is being made."""
-    peers = (*router.caches.values(), router.origin)
+    """Return whether no server has a connection that the test has not taken, and none is being dialled."""
+    scripted = (*router.caches.values(), router.origin)
     dials = router.servers.dials | router.origins.dials
-    return all(p.links.empty() for p in peers) and not dials
+    return all(s.links.empty() for s in scripted) and not dials
 
 
 async def paused_client(
     router: RouterHarness, commands: int = 2 * MAX_PIPELINED
 ) -> tuple[Link, dict[bytes, Link]]:
-    """A client that is not read from, with more commands than are taken, and the attempts of those."""
+    """Return a client that the router has paused reading, and the attempts of the commands taken, by id."""
     client = await router.client()
     client.write(b"".join(read(f"r{n}", f"k{n}", LONG_DEADLINE) for n in range(commands)))
     out: dict[bytes, Link] = {}
 
-    async def collect(peer: ScriptedServer) -> None:
+    async def collect(server: ScriptedServer) -> None:
         while True:
-            link = await peer.link()
+            link = await server.link()
             out[(await link.resp())[2]] = link
 
     tasks = [asyncio.create_task(collect(p)) for p in router.caches.values()]
@@ -135,14 +135,14 @@
     return client, out
 
 
-# A client that has gone: no attempt begins more than 0.1 s later
+# A client that has left: no attempt starts more than 0.1 s later
 
 
 ONE_COPY = replace(SETTINGS, second_copies=False)
 
 
 class LargeHarness(RouterHarness):
-    """With places at the caches for all that one client may have out, and a copy of none."""
+    """Has room at the cache servers for all that one client may have in flight; sends no second copies."""
 
     def __init__(self, settings: Any = ONE_COPY) -> None:
         super().__init__(settings)
@@ -154,14 +154,14 @@
             server.limit = 64.0
 
 
-def test_a_client_that_leaves_unread_is_noticed_in_time(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Looks came each 0.1 s: with the turn of a busy loop on top, attempts began later than that."""
+def test_a_paused_client_that_leaves_is_noticed_in_time(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The check ran every 0.1 s: with the delay of a busy loop on top, attempts started later than that."""
 
     async def scenario() -> None:
         async with LargeHarness() as router:
             clock = SkippedClock(monkeypatch)
             client, _ = await paused_client(router)
-            await clock.advance(0.1)  # a look has just been, and the next is as far off as it gets
+            await clock.advance(0.1)  # a check has just run, so the next one is as far off as possible
             close_now(client)
             await clock.advance(0.05)
             assert not router.listener.connections and not router.host.router.held
@@ -169,8 +169,8 @@
     run(scenario)
 
 
-def test_no_further_attempt_begins_before_a_look(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A miss that came behind the client's end went on to the origin."""
+def test_no_further_attempt_starts_before_a_check(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A miss that arrived after the client's FIN went on to the origin."""
     monkeypatch.setattr(listener, "LOOK", NEVER_S)
 
     async def scenario() -> None:
@@ -186,8 +186,8 @@
     run(scenario)
 
 
-def test_no_command_held_back_is_taken_for_a_client_that_has_left(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Each answer made room for a command that had waited in the router, whoever was still there."""
+def test_no_buffered_command_is_taken_of_a_client_that_has_left(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Each answer made room for a command buffered in the router, though its client had left."""
     monkeypatch.setattr(listener, "LOOK", NEVER_S)
 
     async def scenario() -> None:
@@ -203,8 +203,8 @@
     run(scenario)
 
 
-def test_no_dial_goes_on_for_a_client_that_left_unread(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The dial is dropped by the look, before it could end and have the request written."""
+def test_no_dial_goes_on_for_a_paused_client_that_has_left(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The check drops the dial before it can complete and have the request written."""
 
     async def scenario() -> None:
         async with LargeHarness() as router:
@@ -212,11 +212,11 @@
             loop, gate, clock = asyncio.get_running_loop(), asyncio.Event(), SkippedClock(monkeypatch)
             connect = loop.create_connection
 
-            async def held_back(*args: Any) -> Any:
+            async def delayed(*args: Any) -> Any:
                 await gate.wait()
                 return await connect(*args)
 
-            monkeypatch.setattr(loop, "create_connection", held_back)
+            monkeypatch.setattr(loop, "create_connection", delayed)
             send_now(out[b"r0"], MISS)
             while not router.origins.dials:
                 await asyncio.sleep(0)
@@ -231,12 +231,12 @@
 
 
 @pytest.mark.parametrize("further", ["to the origin", "to another cache"])
-def test_events_of_one_turn_begin_no_attempt_for_a_client_that_has_left(further: str) -> None:
-    """A kept connection has the request written at once, before the loop comes to the client's end."""
+def test_events_of_one_loop_iteration_start_no_attempt_for_a_client_that_has_left(further: str) -> None:
+    """A kept-alive connection writes the request at once, before the loop handles the client's FIN."""
 
     async def scenario() -> None:
         async with RouterHarness(replace(ONE_COPY, may_cancel=False)) as router:
-            # kept connections everywhere: a write is served by the origin, reads by either cache
+            # kept-alive connections everywhere: the origin serves a write, each cache server a read
             writer = await router.client()
             writer.write(book("w1"))
             origin = await router.origin.link()
@@ -252,7 +252,7 @@
                 links[name].write(HIT)
                 await writer.resp()
             router.list("a", "b")
-            await asyncio.sleep(0.03)  # an answered connection rests before it is used again
+            await asyncio.sleep(0.03)  # a connection rests after an answer before it is reused
             client = await router.client()
             client.write(read("r1"))
             while not (busy := [c for c in router.servers.connections if c.exchange is not None]):
@@ -276,7 +276,7 @@
 
 
 def test_small_answers_are_not_held_back() -> None:
-    """What the system holds back is lost with a connection that is closed over unread bytes."""
+    """What the kernel delays is lost if the connection is closed with unread bytes."""
 
     async def scenario() -> None:
         async with RouterHarness() as router:
@@ -290,11 +290,11 @@
     run(scenario)
 
 
-@pytest.mark.parametrize("why", ["for room", "at the end"])
-def test_a_request_that_crosses_the_close_sees_an_end_and_goes_nowhere(
+@pytest.mark.parametrize("why", ["to make room", "at shutdown"])
+def test_a_request_that_crosses_the_close_gets_a_fin_and_is_not_sent_on(
     why: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The connection was reset over it. Its client sends it again, so it must not be sent on here."""
+    """The connection used to be reset. The client retries the request, so it must not be sent on here."""
 
     async def scenario() -> None:
         async with RouterHarness(clients=8) as router:
@@ -303,23 +303,23 @@
                 (connection,) = router.listener.connections
                 idle, crossed = ClientConnection.idle, [read("late")]
 
-                def closing(looked_at: ClientConnection) -> bool:
-                    found = idle(looked_at)
-                    if found and looked_at is connection and crossed:
-                        client.send(crossed.pop(0))  # in the moment after the look
+                def closing(checked: ClientConnection) -> bool:
+                    found = idle(checked)
+                    if found and checked is connection and crossed:
+                        client.send(crossed.pop(0))  # right after the check
                     return found
 
                 monkeypatch.setattr(ClientConnection, "idle", closing)
                 stop = None
                 others = []
-                if why == "for room":
+                if why == "to make room":
                     others = [await RawClient(router).ping() for _ in range(7)]
                 else:
                     stop = asyncio.create_task(router.listener.stop(0.0, 5.0))
                 assert await client.read_all() == b""
                 client.send(read("later") + b"*4\r\n$5\r\nC.G")
                 await run_loop()
-                assert await client.read_all() == b""  # a reset would tell
+                assert await client.read_all() == b""  # a reset would raise
                 assert connection in router.listener.lingering and not crossed
                 assert not router.host.requests and all_unused(router)
             if stop is not None:
@@ -333,27 +333,27 @@
 
 
 @pytest.mark.parametrize("junk", [b"PING\r\n", b"*4\r\n$900000000\r\n"])
-def test_an_error_line_arrives_though_more_was_sent(junk: bytes) -> None:
-    """Closed over bytes that were not read yet, the connection was reset."""
+def test_an_error_line_arrives_though_the_client_sends_more(junk: bytes) -> None:
+    """Closed with bytes not read yet, the connection was reset."""
 
     async def scenario() -> None:
         async with RouterHarness() as router:
-            with RawClient(router) as peer:
+            with RawClient(router) as client:
                 sent = asyncio.create_task(
-                    asyncio.get_running_loop().sock_sendall(peer.socket, junk + b"x" * (1 << 19))
+                    asyncio.get_running_loop().sock_sendall(client.socket, junk + b"x" * (1 << 19))
                 )
-                said = await peer.read_all()
-                assert said.startswith(b"-ERR ") and said.count(b"\r\n") == 1
+                answer = await client.read_all()
+                assert answer.startswith(b"-ERR ") and answer.count(b"\r\n") == 1
                 await sent
-                peer.send(read("late"))
+                client.send(read("late"))
                 await run_loop()
                 assert not router.host.requests
 
     run(scenario)
 
 
-def test_the_last_answer_arrives_whole_though_a_request_crosses_the_end() -> None:
-    """It had not all gone out when the router ended; the close that followed reset what was left."""
+def test_the_last_answer_arrives_whole_though_a_request_crosses_the_shutdown() -> None:
+    """Part of it was still in the send buffer at shutdown, and the close reset the connection."""
 
     async def scenario() -> None:
         async with RouterHarness() as router:
@@ -380,8 +380,8 @@
     run(scenario)
 
 
-def test_a_client_that_never_ends_its_side_is_cut_off(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Waiting for it, the router would be killed, and connections would fill the descriptors."""
+def test_a_client_that_never_closes_its_side_is_cut_off(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Waiting for it, the router would be killed at shutdown, and connections would use up descriptors."""
 
     async def scenario() -> None:
         async with RouterHarness() as router:
@@ -396,53 +396,53 @@
     run(scenario)
 
 
-def test_no_more_than_a_bound_is_read_from_a_client_after_the_end() -> None:
-    """It could keep the router busy with what nobody wants."""
+def test_only_a_limited_amount_is_read_from_a_client_after_the_close() -> None:
+    """Guards against a client that keeps a closed connection busy with data that is thrown away."""
 
     async def scenario() -> None:
         async with RouterHarness() as router:
-            with RawClient(router) as peer:
-                peer.send(b"PING\r\n")
-                assert (await peer.read_all()).startswith(b"-ERR ")
+            with RawClient(router) as client:
+                client.send(b"PING\r\n")
+                assert (await client.read_all()).startswith(b"-ERR ")
                 with pytest.raises((ConnectionResetError, BrokenPipeError)):
                     while True:
-                        await asyncio.get_running_loop().sock_sendall(peer.socket, b"x" * 65_536)
+                        await asyncio.get_running_loop().sock_sendall(client.socket, b"x" * 65_536)
 
     run(scenario)
 
 
-def test_those_that_linger_go_first_when_room_is_short() -> None:
-    """Each holds a descriptor, and clients that come would find none."""
+def test_lingering_connections_are_closed_first_when_descriptors_are_short() -> None:
+    """Each holds a descriptor, and new clients would find none."""
 
     async def scenario() -> None:
         async with RouterHarness(clients=8) as router:
-            listener, peers = router.listener, []
+            listener, raw_clients = router.listener, []
             for _ in range(20):
-                peers.append(await RawClient(router).ping())
+                raw_clients.append(await RawClient(router).ping())
                 await run_loop()
                 assert len(listener.connections) + len(listener.lingering) <= 8
             assert len(listener.lingering) == 1 and len(listener.connections) == 7
-            for peer in peers[:13]:
-                assert await peer.read_all() == b""
-            for peer in peers[13:]:
-                await peer.ping()
-            for peer in peers:
-                peer.socket.close()
+            for client in raw_clients[:13]:
+                assert await client.read_all() == b""
+            for client in raw_clients[13:]:
+                await client.ping()
+            for client in raw_clients:
+                client.socket.close()
 
     run(scenario)
 
 
-# Idle clients that fill the descriptors
+# Idle clients that use up the descriptors
 
 
-MAX_SOCKETS = 256  # the least that a router gets
+MAX_SOCKETS = 256  # descriptors, the fewest that a router gets
 
 
 @asynccontextmanager
 async def program(
     tmp_path: Path, caches: list[ScriptedServer], discovery: str, limit: int
 ) -> AsyncIterator[tuple[asyncio.subprocess.Process, tuple[str, int]]]:
-    """The real program in a process that may hold so many descriptors, and where it listens."""
+    """Run the real program with a limit of descriptors; yields the process and the address it listens on."""
     lines = [
         {**LINE, "name": f"s-{i}", "address": c.address, "type": "std", "since_ms": 0}
         for i, c in enumerate(caches)
@@ -464,22 +464,22 @@
         await process.wait()
 
 
-async def serve(peer: ScriptedServer) -> None:
+async def serve(server: ScriptedServer) -> None:
     """Answer every read on every connection."""
 
     async def answer(link: Link) -> None:
-        with suppress(AssertionError, ConnectionError):  # until the program ends the connection
+        with suppress(AssertionError, ConnectionError):  # until the program closes the connection
             while True:
                 await link.resp()
                 link.write(HIT)
 
     tasks = []
     while True:
-        tasks.append(asyncio.create_task(answer(await peer.link())))
+        tasks.append(asyncio.create_task(answer(await server.link())))
 
 
 def connect_idle(address: tuple[str, int], count: int, sent: bytes) -> list[socket.socket]:
-    """Clients that connect, send no more than this, and rest."""
+    """Connect clients that send `sent` and then stay idle."""
     idle = []
     for _ in range(count):
         idle.append(socket.create_connection(address))
@@ -488,7 +488,7 @@
 
 
 async def collect_accept_warnings(process: asyncio.subprocess.Process, found: list[bytes]) -> None:
-    """Keep what the log says of accepting that failed."""
+    """Collect the log lines about failed accepts."""
     assert process.stderr is not None
     while line := await process.stderr.readline():
         if b"accept: " in line:
@@ -503,22 +503,22 @@
     [
         (PING, 400, MAX_SOCKETS),
         (b"", 400, MAX_SOCKETS),
-        (PING + b"*4\r\n$5\r\nC.G", 150, MAX_SOCKETS),  # each may take 2 s to go on
-        (PING, 400, 96),  # fewer than was told
+        (PING + b"*4\r\n$5\r\nC.G", 150, MAX_SOCKETS),  # a half command, which may take 2 s to complete
+        (PING, 400, 96),  # fewer than configured
         (b"", 400, 96),
     ],
 )
-def test_a_crowd_that_rests_takes_no_descriptor_that_others_need(
+def test_idle_clients_take_no_descriptors_that_others_need(
     sent: bytes, count: int, limit: int, tmp_path: Path
 ) -> None:
-    """While discovery is down: clients are served, servers dialled, and discovery is called at its return.
+    """While discovery is down clients are served and servers dialled; it is called as soon as it is back.
 
-    Half commands held their descriptors for good, and with the table full nothing was ever closed.
+    Half commands held their descriptors for ever, and with none left nothing was ever closed.
     """
 
     async def scenario() -> None:
         loop = asyncio.get_running_loop()
-        discovery = socket.socket()  # bound all the time, so that no client gets its port; refuses calls
+        discovery = socket.socket()  # stays bound, so that no client gets its port; refuses connections
         discovery.bind(("127.0.0.1", 0))
         down = format_address(discovery.getsockname())
         async with ScriptedServer() as a, ScriptedServer() as b:
@@ -539,7 +539,7 @@
                 await log
                 if limit == MAX_SOCKETS:
                     assert not failed
-                assert len(failed) <= 1 + (loop.time() - since) / listener.ACCEPT_PAUSE  # no spin
+                assert len(failed) <= 1 + (loop.time() - since) / listener.ACCEPT_PAUSE  # no busy loop
                 back.server.close()
                 for each in idle:
                     each.close()
@@ -549,24 +549,26 @@
     run(scenario)
 
 
-def test_what_has_connected_when_accepting_ends_takes_no_more_than_the_budget(
+def test_connections_pending_when_accepting_ends_stay_within_the_budget(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """All were accepted at once then, past the limit, and what rested was not closed before the very end."""
+    """All were accepted at once, past the limit, and idle ones were only closed at the very end."""
 
     async def scenario() -> None:
         async with RouterHarness(clients=8) as router:
             listener, most = router.listener, 0
             made = ClientConnection.connection_made
 
-            def counted(connection: ClientConnection, transport: asyncio.BaseTransport) -> None:
+            def count(connection: ClientConnection, transport: asyncio.BaseTransport) -> None:
                 nonlocal most
                 made(connection, transport)
                 most = max(most, len(listener.connections) + len(listener.lingering))
 
-            monkeypatch.setattr(ClientConnection, "connection_made", counted)
+            monkeypatch.setattr(ClientConnection, "connection_made", count)
             idle = [await RawClient(router).ping() for _ in range(7)]
-            late = [RawClient(router) for _ in range(30)]  # the loop has not run since: none is accepted yet
+            late = [
+                RawClient(router) for _ in range(30)
+            ]  # the loop has not run since, so none is accepted yet
             for each in late:
                 each.send(PING)
             await listener.stop(0.0, 5.0)
@@ -574,15 +576,15 @@
                 assert await each.read_all() == b"+PONG\r\n"
             for each in idle:
                 assert await each.read_all() == b""
-            assert most <= 8 + 1  # with the newest
+            assert most <= 8 + 1  # with the one being accepted
             for each in (*late, *idle):
                 each.socket.close()
 
     run(scenario)
 
 
-def test_the_connection_longest_at_rest_makes_room() -> None:
-    """The first to come was closed though it had just been used, and its next request crossed the close."""
+def test_the_connection_idle_for_longest_makes_room() -> None:
+    """The oldest was closed though it had just been used, and its next request crossed the close."""
 
     async def scenario() -> None:
         async with RouterHarness(clients=8) as router:
@@ -598,20 +600,20 @@
     run(scenario)
 
 
-def test_a_connection_that_is_closing_already_makes_no_room(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Closed again and again in one turn of the loop, it would never come to its end."""
+def test_a_connection_that_is_already_closing_makes_no_room(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against closing it again and again in one loop iteration, which would never end."""
 
     async def scenario() -> None:
         async with RouterHarness(clients=8) as router:
             clock = SkippedClock(monkeypatch)
-            rests, half = await RawClient(router).ping(), await RawClient(router).ping()
-            half.send(b"*4\r\n")
+            idle, partial = await RawClient(router).ping(), await RawClient(router).ping()
+            partial.send(b"*4\r\n")
             await run_loop()
             await clock.advance(clients.STALLED + 0.1)
             for connection in router.listener.connections:
                 connection.transport.abort()
             assert not router.listener._shut_one()
-            rests.socket.close()
-            half.socket.close()
+            idle.socket.close()
+            partial.socket.close()
 
     run(scenario)
