--- a/tests/test_terms_discovery.py
+++ b/tests/test_terms_discovery.py
@@ -1,4 +1,4 @@
-"""Discovery as the terms have it: what it has counts as told soon, whatever became of the calls."""
+"""Requirements on discovery calls: routers get a change before they count as knowing it, whatever fails."""
 
 from __future__ import annotations
 
@@ -24,58 +24,58 @@
 from tests.test_net_discovery import LINE, Told, call, message
 from tests.test_wirehost import CONF
 
-NEWS = 6.0  # seconds after which what discovery has counts as told, by the terms
-GRACE = 0.5  # the shortest time for a drain that was seen
-PATIENCE = 2.0  # for which discovery keeps a call waiting
-HANGING = discoveries.WATCH_WAIT + discoveries.ANSWER_MARGIN  # until a silent call is given up
-# a connection that never comes up; without a bound of its own it has that of the whole call
-DIAL = getattr(discoveries, "DIAL", HANGING)
+PROPAGATION_S = 6.0  # after which a router counts as knowing a change, by the requirements
+DRAIN_GRACE_S = 0.5  # the shortest time for a drain that a router knows of
+QUEUE_TIMEOUT_S = 2.0  # for which discovery keeps a call in its queue
+SILENT_CALL_S = discoveries.WATCH_WAIT + discoveries.ANSWER_MARGIN  # until a call without an answer times out
+# of a connection that is never established; without a limit of its own it has that of the whole call
+DIAL_TIMEOUT_S = getattr(discoveries, "DIAL", SILENT_CALL_S)
 
 
 class Model:
-    """Routers on one clock, and a discovery that works through their calls one after another.
+    """Simulates routers on one clock, and a discovery that serves their calls one after another.
 
-    A call that waits for over two seconds fails and is worked through all the same. A watch renews itself
-    every three seconds, at no cost.
+    A call that waits for over two seconds fails, but is served all the same. A watch is renewed every three
+    seconds, at no cost.
     """
 
-    def __init__(self, siblings: int, work: float, start: float = 100.0) -> None:
-        self.now, self.work = start, work
+    def __init__(self, siblings: int, service_time: float, start: float = 100.0) -> None:
+        self.now, self.service_time = start, service_time
         self.events: list[tuple[float, int, Callable[..., None], tuple[int, ...]]] = []
         self.count = 0
-        self.watches: dict[int, int] = {}  # each router's latest call, while it is on
+        self.watches: dict[int, int] = {}  # each router's latest call, while it lasts
         self.renewed: dict[int, float] = {}
         self.silent: set[int] = set()  # watches
-        conf = settings(subscribe=True, siblings=siblings, must_ask_in=10.0, drain_grace=GRACE)
+        conf = settings(subscribe=True, siblings=siblings, must_ask_in=10.0, drain_grace=DRAIN_GRACE_S)
         self.routers = [Router(replace(conf, number=n), n, start) for n in range(siblings)]
-        self.come_back()
+        self.recover()
         for n in range(siblings):
             self.feed(n, api.ServerList(api.ListKind.SAVED, (entry("a"),)))
 
-    def come_back(self, backlog: float = 0.0) -> None:
-        """From now on calls are taken, behind what others have asked for."""
+    def recover(self, backlog: float = 0.0) -> None:
+        """Serve calls from now on, after a backlog of other callers in seconds."""
         self.mode = "up"
-        self.back, self.free = self.now, self.now + backlog
-        self.listed: dict[int, float] = {}  # when each had its first answer since
-        self.late = self.waiting = self.most = 0
-        self.asked: list[float] = []
+        self.up_at, self.busy_until = self.now, self.now + backlog
+        self.first_answers: dict[int, float] = {}  # when each router had its first answer since then
+        self.timed_out = self.waiting = self.max_waiting = 0
+        self.call_times: list[float] = []
 
-    def later(self, delay: float, what: Callable[..., None], *about: int) -> None:
+    def schedule(self, delay: float, callback: Callable[..., None], *args: int) -> None:
         self.count += 1
-        heapq.heappush(self.events, (self.now + delay, self.count, what, about))
+        heapq.heappush(self.events, (self.now + delay, self.count, callback, args))
 
     def run(self, seconds: float) -> None:
         until = self.now + seconds
         while self.events and self.events[0][0] <= until:
-            self.now, _, what, about = heapq.heappop(self.events)
-            what(*about)
+            self.now, _, callback, args = heapq.heappop(self.events)
+            callback(*args)
         self.now = until
 
     def feed(self, n: int, event: api.Event) -> None:
         for action in self.routers[n].handle(self.now, event):
             if isinstance(action, api.SetTimer):
                 assert action.token == "list"
-                self.later(action.delay, self.fire, n)
+                self.schedule(action.delay, self.fire, n)
             elif isinstance(action, api.Subscribe) and n not in self.watches:
                 self.call(n)
 
@@ -86,24 +86,24 @@
         self.count += 1
         call = self.watches[n] = self.count
         if self.mode != "up":
-            self.later(DIAL if self.mode == "silent" else 0.0, self.fail, n, call)
+            self.schedule(DIAL_TIMEOUT_S if self.mode == "silent" else 0.0, self.fail, n, call)
             return
-        self.asked.append(self.now)
+        self.call_times.append(self.now)
         self.waiting += 1
-        self.most = max(self.most, self.waiting)
-        self.free = max(self.free, self.now) + self.work
-        wait = self.free - self.now
-        self.later(wait, self.leave)
-        if wait > PATIENCE:
-            self.later(PATIENCE, self.give_up, n, call)
+        self.max_waiting = max(self.max_waiting, self.waiting)
+        self.busy_until = max(self.busy_until, self.now) + self.service_time
+        wait = self.busy_until - self.now
+        self.schedule(wait, self.leave_queue)
+        if wait > QUEUE_TIMEOUT_S:
+            self.schedule(QUEUE_TIMEOUT_S, self.time_out, n, call)
         else:
-            self.later(wait, self.answer, n, call)
+            self.schedule(wait, self.answer, n, call)
 
-    def leave(self) -> None:
+    def leave_queue(self) -> None:
         self.waiting -= 1
 
-    def give_up(self, n: int, call: int) -> None:
-        self.late += self.watches.get(n) == call
+    def time_out(self, n: int, call: int) -> None:
+        self.timed_out += self.watches.get(n) == call
         self.fail(n, call)
 
     def fail(self, n: int, call: int) -> None:
@@ -113,17 +113,17 @@
 
     def answer(self, n: int, call: int) -> None:
         if self.watches.get(n) == call and call not in self.silent and self.mode == "up":
-            self.listed.setdefault(n, self.now - self.back)
+            self.first_answers.setdefault(n, self.now - self.up_at)
             self.renew(n, call)
 
     def renew(self, n: int, call: int) -> None:
         if self.watches.get(n) == call and call not in self.silent:
             self.renewed[n] = self.now
             self.feed(n, api.ServerList(api.ListKind.DELTA))
-            self.later(discoveries.WATCH_WAIT + discoveries.EMPTY_PAUSE, self.renew, n, call)
+            self.schedule(discoveries.WATCH_WAIT + discoveries.EMPTY_PAUSE, self.renew, n, call)
 
     def go_down(self, mode: str) -> None:
-        """Refuse calls and reset all watches, or fall silent."""
+        """Refuse calls and reset all watches, or stop answering."""
         self.mode = mode
         for n, watch in list(self.watches.items()):
             if mode == "refusing":
@@ -131,102 +131,102 @@
             else:
                 self.silent.add(watch)
                 since = self.now - self.renewed.get(n, self.now)
-                self.later(max(0.0, HANGING + discoveries.EMPTY_PAUSE - since), self.fail, n, watch)
+                self.schedule(max(0.0, SILENT_CALL_S + discoveries.EMPTY_PAUSE - since), self.fail, n, watch)
 
-    def rate(self) -> int:
-        """The most calls within a second."""
-        return max(sum(t <= other < t + 1.0 for other in self.asked) for t in self.asked)
+    def max_call_rate(self) -> int:
+        """Return the most calls within a second."""
+        return max(sum(t <= other < t + 1.0 for other in self.call_times) for t in self.call_times)
 
-    def last(self) -> float:
-        """When the last of all had the list."""
-        assert len(self.listed) == len(self.routers)
-        return max(self.listed.values())
+    def last_answer(self) -> float:
+        """Return when the last router had the list."""
+        assert len(self.first_answers) == len(self.routers)
+        return max(self.first_answers.values())
 
 
 FLEETS = [(4, 0.025), (4, 0.125), (40, 0.025), (40, 0.125), (230, 0.025)]
 
 
 @pytest.mark.parametrize("mode", ["refusing", "silent"])
-@pytest.mark.parametrize(("siblings", "work"), FLEETS)
-def test_all_have_the_list_before_it_counts_as_told_when_discovery_is_back(
-    siblings: int, work: float, mode: str
+@pytest.mark.parametrize(("siblings", "service_time"), FLEETS)
+def test_all_have_the_list_before_it_counts_as_known_when_discovery_is_back(
+    siblings: int, service_time: float, mode: str
 ) -> None:
-    """After eight seconds of failed calls the pauses had grown to twenty: lists came long after drains."""
+    """After 8 s of failed calls the backoff had grown to 20 s: lists arrived long after drains."""
     for extra in (0.0, 0.5, 1.7, 3.1, 60.0):
-        model = Model(siblings, work)
+        model = Model(siblings, service_time)
         model.run(30.0)
-        assert model.last() < 6.0
+        assert model.last_answer() < 6.0
         model.go_down(mode)
         model.run(8.0 + extra)
-        model.come_back()
+        model.recover()
         model.run(60.0)
-        assert model.last() < (4.0 if siblings == 4 else NEWS)
-        assert model.late == 0 and model.most <= 40
-        assert model.rate() <= 48  # of two hundred and thirty; in turn, whatever they were held up by
+        assert model.last_answer() < (4.0 if siblings == 4 else PROPAGATION_S)
+        assert model.timed_out == 0 and model.max_waiting <= 40
+        assert model.max_call_rate() <= 48  # of 230 routers; they call in turn, whatever has delayed them
 
 
-@pytest.mark.parametrize(("siblings", "work"), FLEETS)
-def test_all_have_the_list_again_soon_when_all_watches_are_reset(siblings: int, work: float) -> None:
-    """All came back within half of a round: over half of them waited too long, and paused for ten seconds."""
+@pytest.mark.parametrize(("siblings", "service_time"), FLEETS)
+def test_all_have_the_list_again_soon_when_all_watches_are_reset(siblings: int, service_time: float) -> None:
+    """All called within half a round: over half of the calls timed out queueing, and backed off for 10 s."""
     for extra in (0.0, 0.9, 2.3):
-        model = Model(siblings, work)
+        model = Model(siblings, service_time)
         model.run(30.0 + extra)
         model.go_down("refusing")
-        model.come_back()
+        model.recover()
         model.run(60.0)
-        assert model.last() < NEWS and model.late == 0
+        assert model.last_answer() < PROPAGATION_S and model.timed_out == 0
 
 
-@pytest.mark.parametrize(("siblings", "work"), FLEETS)
-def test_watches_that_fall_silent_are_all_opened_anew(siblings: int, work: float) -> None:
-    """Found two to five seconds later, they leave little time, and that is spread over."""
+@pytest.mark.parametrize(("siblings", "service_time"), FLEETS)
+def test_silent_watches_are_all_opened_again(siblings: int, service_time: float) -> None:
+    """They are detected 2 to 5 s later, which leaves little time, over which the calls are spread."""
     for extra in (0.0, 0.9, 1.8, 2.3):
-        model = Model(siblings, work)
+        model = Model(siblings, service_time)
         model.run(30.0 + extra)
         model.go_down("silent")
-        model.come_back()
+        model.recover()
         model.run(60.0)
-        # the first are found 2 s later: from then on until it counts discovery can't work through more
-        in_time = sum(t <= NEWS + GRACE for t in model.listed.values())
-        assert in_time >= min(siblings, int(0.8 * (NEWS + GRACE - 2.0) / work))
-        assert model.last() < 14.0
+        # the first are detected 2 s later: by the deadline discovery can't serve more than this
+        in_time = sum(t <= PROPAGATION_S + DRAIN_GRACE_S for t in model.first_answers.values())
+        assert in_time >= min(siblings, int(0.8 * (PROPAGATION_S + DRAIN_GRACE_S - 2.0) / service_time))
+        assert model.last_answer() < 14.0
 
 
-@pytest.mark.parametrize(("siblings", "work"), FLEETS)
-def test_a_discovery_with_too_many_callers_is_not_kept_so(siblings: int, work: float) -> None:
-    """Six seconds of others' calls are before ours: a call in each round would keep the queue for good."""
-    model = Model(siblings, work)
+@pytest.mark.parametrize(("siblings", "service_time"), FLEETS)
+def test_a_discovery_with_too_many_callers_recovers(siblings: int, service_time: float) -> None:
+    """Other callers' backlog is 6 s: if all routers called in every round, the queue would never drain."""
+    model = Model(siblings, service_time)
     model.run(30.0)
     model.go_down("refusing")
     model.run(8.0)
-    model.come_back(backlog=6.0)
+    model.recover(backlog=6.0)
     model.run(120.0)
-    assert model.last() < 35.0 and model.late <= 2.5 * siblings
+    assert model.last_answer() < 35.0 and model.timed_out <= 2.5 * siblings
 
 
-@pytest.mark.parametrize(("siblings", "work"), FLEETS)
-def test_nine_in_ten_that_start_with_no_list_have_one_in_time(siblings: int, work: float) -> None:
-    """A router that knows no cache server is ready with its first list only, within 6 s on a short day."""
-    model = Model(siblings, work, start=1_790_000_000.3)
+@pytest.mark.parametrize(("siblings", "service_time"), FLEETS)
+def test_nine_in_ten_routers_that_start_without_a_list_have_one_in_time(
+    siblings: int, service_time: float
+) -> None:
+    """A router without cache servers is only ready with its first list, for which a short run has 6 s."""
+    model = Model(siblings, service_time, start=1_790_000_000.3)
     model.run(30.0)
-    assert sorted(model.listed.values())[int(0.9 * siblings) - 1] < 5.3 and model.late == 0
+    assert sorted(model.first_answers.values())[int(0.9 * siblings) - 1] < 5.3 and model.timed_out == 0
 
 
-def test_a_call_that_gets_no_answer_is_made_again_at_once() -> None:
-    """It was given up five seconds after it began; what discovery has counts as told one later."""
-    conf = settings(subscribe=True, siblings=40, drain_grace=GRACE)
+def test_a_call_without_an_answer_is_repeated_at_once() -> None:
+    """It timed out 5 s after it began, and changes count as known 1 s later."""
+    conf = settings(subscribe=True, siblings=40, drain_grace=DRAIN_GRACE_S)
     router = Router(conf, 1, 100.0)
     router.handle(101.0, api.TimerFired("list"))
-    (timer, _) = router.handle(101.0 + HANGING, api.ServerList(api.ListKind.FAILED))
+    (timer, _) = router.handle(101.0 + SILENT_CALL_S, api.ServerList(api.ListKind.FAILED))
     assert isinstance(timer, api.SetTimer) and timer.delay < 0.5
 
 
 @pytest.mark.parametrize("must_ask_in", [2.0, 10.0, 40.0])
 @pytest.mark.parametrize("siblings", [1, 4, 40, 230])
-def test_no_pause_outlasts_what_counts_as_told_while_calls_are_refused(
-    siblings: int, must_ask_in: float
-) -> None:
-    """A site that asks its routers to ask rarely does not make news count later."""
+def test_backoff_stays_within_the_deadline_while_calls_are_refused(siblings: int, must_ask_in: float) -> None:
+    """A site whose routers may ask rarely does not make changes count as known later."""
     conf = settings(subscribe=True, siblings=siblings, must_ask_in=must_ask_in, number=siblings - 1)
     router, now = Router(conf, 1, 100.0), 100.0
     (first,) = router.handle(now, api.ServerList(api.ListKind.SAVED, (entry("a"),)))
@@ -238,24 +238,24 @@
         now += timer.delay
 
 
-# The calls themselves
+# Single calls
 
 
-def test_a_connection_that_never_comes_up_is_given_up_soon() -> None:
-    """It had the whole call's time: five of the six seconds after which news counts as told."""
+def test_a_connection_that_is_never_established_times_out_soon() -> None:
+    """It used to have the whole call's time: 5 of the 6 s after which changes count as known."""
 
     async def scenario() -> None:
         with socket.socket() as full:
             full.bind(("127.0.0.1", 0))
-            full.listen(0)  # and nobody accepts: what comes after these two is dropped as by a cut
+            full.listen(0)  # nobody accepts: after these two, SYNs are dropped as in a network partition
             fillers = [socket.socket() for _ in range(2)]
             for filler in fillers:
                 filler.setblocking(False)
                 filler.connect_ex(full.getsockname())
-            peer = ScriptedServer()
-            peer.address = format_address(full.getsockname())
+            scripted = ScriptedServer()
+            scripted.address = format_address(full.getsockname())
             began = time.monotonic()
-            assert await Told(peer).news.get() is None
+            assert await Told(scripted).news.get() is None
             assert time.monotonic() - began < 2.0
             for filler in fillers:
                 filler.close()
@@ -263,16 +263,14 @@
     run(scenario)
 
 
-def test_a_call_that_waits_its_turn_outlasts_the_bound_on_connections(
-    monkeypatch: pytest.MonkeyPatch,
-) -> None:
-    """Given up, it would be worked through all the same, and the next one would wait behind it."""
+def test_a_call_in_the_queue_is_not_limited_by_the_dial_timeout(monkeypatch: pytest.MonkeyPatch) -> None:
+    """An abandoned call would still be served, and the next one would wait behind it."""
 
     async def scenario() -> None:
         monkeypatch.setattr(discoveries, "DIAL", 0.1, raising=False)
-        async with ScriptedServer() as peer:
-            told = Told(peer)
-            _, link = await call(peer)
+        async with ScriptedServer() as scripted:
+            told = Told(scripted)
+            _, link = await call(scripted)
             await asyncio.sleep(0.3)
             link.write(http("200 OK", message(42, False)))
             assert await told.news.get() == (api.ListKind.DELTA, [])
@@ -281,37 +279,37 @@
     run(scenario)
 
 
-WHOLE = "GET /registry/instances HTTP/1.1"
+FULL_LIST = "GET /registry/instances HTTP/1.1"
 
 
-async def whole_list_is_asked_for(peer: ScriptedServer, told: Told, link: Link) -> None:
-    """The answer to the watch has a lower version: what became of the list is not in it."""
+async def expect_full_list_call(scripted: ScriptedServer, told: Told, link: Link) -> None:
+    """Answer the watch with changes of a lower version, after which the router needs the full list."""
     link.write(http("200 OK", message(7, False, {**LINE, "status": "terminating"})))
-    first, link = await call(peer)
-    assert first == WHOLE
+    first, link = await call(scripted)
+    assert first == FULL_LIST
     link.write(http("200 OK", message(8, True, LINE)))
     kind, (member,) = await told.news.get() or pytest.fail()
     assert kind is api.ListKind.FULL and member.entry.state is api.State.READY
-    assert "after=8&wait_ms=3000" in (await call(peer))[0] and told.news.empty()
+    assert "after=8&wait_ms=3000" in (await call(scripted))[0] and told.news.empty()
 
 
-def test_a_discovery_that_counts_from_lower_is_asked_for_the_whole_list() -> None:
-    """The list known at the start was told by one that had counted further."""
+def test_a_discovery_with_lower_versions_is_asked_for_the_full_list() -> None:
+    """The list in the configuration came from a discovery with a higher version."""
 
     async def scenario() -> None:
-        async with ScriptedServer() as peer:
-            told = Told(peer)
-            first, link = await call(peer)
+        async with ScriptedServer() as scripted:
+            told = Told(scripted)
+            first, link = await call(scripted)
             assert "after=41&" in first
-            await whole_list_is_asked_for(peer, told, link)
+            await expect_full_list_call(scripted, told, link)
             told.watch.close()
 
     run(scenario)
 
 
 @pytest.mark.parametrize("failed", [False, True])
-def test_a_new_discovery_that_counts_from_lower_is_found_out_at_once(failed: bool) -> None:
-    """Its first watch waited for three seconds, and the next ones for versions that it never had."""
+def test_a_new_discovery_with_lower_versions_is_detected_at_once(failed: bool) -> None:
+    """Its first watch waited for 3 s, and the next ones for versions that it would not reach."""
 
     async def scenario() -> None:
         async with ScriptedServer() as old, ScriptedServer() as new:
@@ -321,20 +319,20 @@
             told.watch.subscribe()
             first, link = await call(new)
             assert "after=41&wait_ms=1 " in first
-            if failed:  # nothing is known of it yet
+            if failed:  # its version is still unknown
                 link.reset()
                 assert await told.news.get() is None
                 told.watch.subscribe()
                 first, link = await call(new)
                 assert "after=41&wait_ms=1 " in first
-            await whole_list_is_asked_for(new, told, link)
+            await expect_full_list_call(new, told, link)
             told.watch.close()
 
     run(scenario)
 
 
-def test_a_new_discovery_that_counts_on_is_watched_on() -> None:
-    """Two hundred whole lists are not asked for without need."""
+def test_a_new_discovery_with_the_same_versions_is_watched() -> None:
+    """Guards against two hundred calls for the full list at once when none is needed."""
 
     async def scenario() -> None:
         async with ScriptedServer() as old, ScriptedServer() as new:
@@ -351,35 +349,35 @@
     run(scenario)
 
 
-def test_a_whole_list_of_a_lower_version_is_taken_as_it_is() -> None:
+def test_a_full_list_of_a_lower_version_is_accepted() -> None:
     async def scenario() -> None:
-        async with ScriptedServer() as peer:
-            told = Told(peer)
-            _, link = await call(peer)
+        async with ScriptedServer() as scripted:
+            told = Told(scripted)
+            _, link = await call(scripted)
             link.write(http("200 OK", message(7, True, LINE)))
             assert (await told.news.get() or pytest.fail())[0] is api.ListKind.FULL
-            assert "after=7&" in (await call(peer))[0]
+            assert "after=7&" in (await call(scripted))[0]
             told.watch.close()
 
     run(scenario)
 
 
 @pytest.mark.parametrize("answer", [http("503 Busy"), http("200 OK", message(7, False, LINE)), b""])
-def test_no_whole_list_is_a_failed_call(answer: bytes) -> None:
-    """Changes taken for the whole list would drop servers that are well; the list held goes on to hold."""
+def test_anything_but_a_full_list_is_a_failed_call(answer: bytes) -> None:
+    """Changes taken for a full list would drop healthy servers; the router keeps the list it has."""
 
     async def scenario() -> None:
-        async with ScriptedServer() as peer:
-            told = Told(peer)
-            _, link = await call(peer)
+        async with ScriptedServer() as scripted:
+            told = Told(scripted)
+            _, link = await call(scripted)
             link.write(http("200 OK", message(7, False)))
-            first, link = await call(peer)
-            assert first == WHOLE
+            first, link = await call(scripted)
+            assert first == FULL_LIST
             link.write(answer)
             link.close()
             assert await told.news.get() is None
             told.watch.subscribe()
-            assert "after=41&" in (await call(peer))[0]
+            assert "after=41&" in (await call(scripted))[0]
             told.watch.close()
 
     run(scenario)
@@ -389,10 +387,10 @@
 
 
 @asynccontextmanager
-async def started(
+async def running(
     path: Path, discovery: str, known: dict[str, Any], **changes: Any
 ) -> AsyncIterator[asyncio.subprocess.Process]:
-    """A process of its own, ended by its id."""
+    """Run the program in a process of its own."""
     config = {**GOOD, "listen": "127.0.0.1:0", "discovery": discovery, "known": known}
     config["settings"] = {**CONF, **changes}
     process = await launched(path, config)
@@ -409,24 +407,24 @@
 
 
 @pytest.mark.parametrize("mode", ["subscribe", "automatic"])
-def test_with_no_list_a_router_is_ready_as_soon_as_discovery_is_back(mode: str, tmp_path: Path) -> None:
+def test_a_router_without_a_list_is_ready_as_soon_as_discovery_is_back(mode: str, tmp_path: Path) -> None:
     async def scenario() -> None:
         with socket.socket() as down:
-            down.bind(("127.0.0.1", 0))  # calls are refused until somebody listens
+            down.bind(("127.0.0.1", 0))  # connections are refused until somebody listens
             discovery = format_address(down.getsockname())
             empty = {"index": 0, "snapshot": True, "endpoints": []}
-            async with started(tmp_path / "c.json", discovery, empty, membershipMode=mode) as process:
+            async with running(tmp_path / "c.json", discovery, empty, membershipMode=mode) as process:
                 client = Link(*await asyncio.open_connection(*await listening(process.stderr)))
                 assert process.stderr is not None
                 while b"out of reach, 3 in a row" not in await process.stderr.readline():
                     client.write(command("PING"))
                     assert isinstance(await client.resp(), Exception)
-                peer = ScriptedServer()
+                scripted = ScriptedServer()
                 began = time.monotonic()
-                server = await asyncio.start_server(peer._accept, sock=down)
-                _, link = await call(peer)
+                server = await asyncio.start_server(scripted._accept, sock=down)
+                _, link = await call(scripted)
                 link.write(http("200 OK", message(3, True, *servers(2))))
-                await call(peer)  # the watch goes on: the list has been taken
+                await call(scripted)  # the watch goes on, so the list has been applied
                 client.write(command("PING"))
                 assert await client.resp() == b"PONG"
                 assert time.monotonic() - began < 4.0
@@ -435,8 +433,8 @@
     run(scenario)
 
 
-def test_an_old_list_is_served_from_at_once_while_discovery_is_down(tmp_path: Path) -> None:
-    """Two hundred and thirty siblings and three hundred servers: the ring is built before it listens."""
+def test_a_saved_list_is_used_at_once_while_discovery_is_down(tmp_path: Path) -> None:
+    """With 230 siblings and 300 servers: the ring is built before the router listens."""
 
     async def scenario() -> None:
         with socket.socket() as down:
@@ -444,7 +442,7 @@
             old = {"index": 10**9, "snapshot": True, "endpoints": servers(300)}
             began = time.monotonic()
             discovery = format_address(down.getsockname())
-            async with started(tmp_path / "c.json", discovery, old, siblings=230, me=229) as process:
+            async with running(tmp_path / "c.json", discovery, old, siblings=230, me=229) as process:
                 await ready(address_of(format_address(await listening(process.stderr))))
                 assert time.monotonic() - began < 6.0
 
