--- a/brackenwalk/demand.py
+++ b/brackenwalk/demand.py
@@ -82,9 +82,9 @@
 
     def add(self, key: int) -> None:
         """Count an own request for a key, given as 32 bits of its hash."""
-        for window in (self.history, self.recent):
-            window.counts[key] += 1
-            window.total += 1
+        for counter in (self.history, self.recent):
+            counter.counts[key] += 1
+            counter.total += 1
         self.unsent[key] += 1
 
     def share(self, key: int) -> float:
@@ -127,10 +127,10 @@
             self.stale += 1
             return set()
         entries = list(KEY_ENTRY.iter_unpack(body[HEADER.size : end]))
-        for window in (self.history, self.recent):
-            window.total += total
-            for key, times in entries:
-                window.counts[key] += times
+        for counter in (self.history, self.recent):
+            counter.total += total
+            for key, requests in entries:
+                counter.counts[key] += requests
         return {server for (server,) in SERVER_ID.iter_unpack(body[end:])}
 
     def split_hot_keys(
