--- a/brackenwalk/policy.py
+++ b/brackenwalk/policy.py
@@ -12,12 +12,12 @@
 from collections.abc import Iterator
 
 from brackenwalk import interface as api
-from brackenwalk.calls import Calls
-from brackenwalk.demand import HOT
+from brackenwalk.demand import HOT_KEY_SHARE
+from brackenwalk.discovery_calls import DiscoveryCalls
+from brackenwalk.gossip import Gossip
 from brackenwalk.ring import Ring, ring_hash
 from brackenwalk.shares import CACHE_TARGET_SHARE, EPSILON, TrafficShares
 from brackenwalk.state import Attempt, PendingRequest, Server
-from brackenwalk.telling import Telling
 
 VNODES = 128  # of a server of unit weight; its share of the keys is then right within about 10 %
 MAX_WALK_NODES = 64  # bounds the cost of a request when every server is at its limit
@@ -49,8 +49,8 @@
         self.servers: dict[str, Server] = {}
         self.servers_by_hash: dict[int, Server] = {}  # by the hash that peers name them by
         self.ring: Ring[Server] = Ring()
-        self.calls = Calls(settings, self.random, now)
-        self.gossip = Telling(settings, self.random, now)
+        self.discovery_calls = DiscoveryCalls(settings, self.random, now)
+        self.gossip = Gossip(settings, self.random, now)
         self.demand = self.gossip.demand
         self.shares = TrafficShares(settings, self.demand, now)
         self.weights: dict[str, float] = {}  # the largest weight seen of each kind
@@ -76,10 +76,10 @@
         elif isinstance(event, api.ServerList):
             self._on_list(event)
         elif isinstance(event, api.PeerMessage):
-            for name_hash in self.gossip.hear(event.content, now):
+            for name_hash in self.gossip.receive(event.content, now):
                 if name_hash in self.servers_by_hash:
                     self.shares.cut_health(self.servers_by_hash[name_hash])
-                    self.gossip.drop(self.servers_by_hash[name_hash])
+                    self.gossip.remove_unhealthy(self.servers_by_hash[name_hash])
         elif isinstance(event, api.ClientGone) and event.request_id in self.pending:
             self._remove(self.pending[event.request_id])
         elif isinstance(event, api.ResponseStarted) and event.request_id in self.pending:
@@ -98,11 +98,13 @@
 
     def _on_list(self, event: api.ServerList) -> None:
         if event.kind is api.ListKind.FAILED:
-            self.actions.append(api.SetTimer(self.calls.failed(self.now), "list"))
-            self.actions.append(api.Log(f"discovery out of reach, {self.calls.failures} in a row; list kept"))
+            self.actions.append(api.SetTimer(self.discovery_calls.delay_after_failure(self.now), "list"))
+            self.actions.append(
+                api.Log(f"discovery out of reach, {self.discovery_calls.failures} in a row; list kept")
+            )
             return
         if event.kind is api.ListKind.MOVED:
-            self.actions.append(api.SetTimer(self.calls.moved(), "list"))
+            self.actions.append(api.SetTimer(self.discovery_calls.delay_after_move(), "list"))
             return
         if event.kind is not api.ListKind.DELTA:
             for i in self.servers.keys() - {e.server for e in event.entries}:
@@ -121,10 +123,10 @@
         if event.entries or event.kind is not api.ListKind.DELTA:
             self._build_ring()  # not for a watch that ends without changes, as one does every few seconds
         if event.kind is not api.ListKind.SAVED:
-            self.calls.listed(self.now)
+            self.discovery_calls.list_received(self.now)
         elif self.settings.subscribe:
             # guards against calls in step: one that queues too long fails, and discovery still works it off
-            self.actions.append(api.SetTimer(self.calls.until_turn(self.now), "list"))
+            self.actions.append(api.SetTimer(self.discovery_calls.delay_until_turn(self.now), "list"))
         queue, self.queue = sorted(self.queue), []
         for req in (q[2] for q in queue if q[2].waiting):
             req.waiting = False
@@ -133,9 +135,9 @@
     def _remove_server(self, name: str) -> None:
         if name in self.servers:
             server = self.servers.pop(name)
-            self.ring.place(server, name, 0)
+            self.ring.set_virtual_nodes(server, name, 0)
             self.servers_by_hash.pop(server.name_hash, None)
-            self.gossip.drop(server)
+            self.gossip.remove_unhealthy(server)
 
     def _build_ring(self) -> None:
         """Place servers by their own weight alone, so that others joining or leaving move no nodes."""
@@ -152,10 +154,10 @@
         unit = 2.0 ** math.ceil(math.log2(largest))  # a power of two, which rarely changes with the fleet
         for s in self.servers.values():
             s.weight = s.weight or largest
-            self.ring.place(
+            self.ring.set_virtual_nodes(
                 s, s.entry.server, math.ceil(VNODES * s.weight / unit) if s.is_cache and s.entry.ready else 0
             )
-        self.ring.settle()
+        self.ring.apply_changes()
         self.shares.total_weight = sum(s.weight for s in caches)
         self.mean_reported = sum(s.reported_load for s in caches) / max(1, len(caches))
 
@@ -192,7 +194,7 @@
         key = req.ring_position >> 32
         part = self.shares.key_share(key, server) / planned  # of its planned portion
         # guards the origin: split at random, each small key would be fetched for two servers
-        small = self.demand.share(key) < HOT * server.weight / self.shares.total_weight
+        small = self.demand.share(key) < HOT_KEY_SHARE * server.weight / self.shares.total_weight
         draw = (req.ring_position & 0xFFFFFFFF) / 2**32 if small else self.random.random()
         req.skipped_cold = bool(req.attempts) or draw >= part
         return not req.skipped_cold
@@ -238,7 +240,7 @@
 
     def _mark_unhealthy(self, server: Server) -> None:
         if self.shares.cut_health(server):
-            self.gossip.found(server)
+            self.gossip.add_unhealthy(server)
 
     def _is_silent(self, server: Server) -> bool:
         """Whether a server has requests in flight and has answered none of them for too long."""
@@ -257,8 +259,8 @@
         if not req.to_origin:
             self.demand.add(req.ring_position >> 32)
         if self.caches and self.gossip.due(self.now):
-            self.shares.plan(self._clockwise, self.ring.first)
-            if message := self.gossip.message(self.now):
+            self.shares.plan(self._clockwise, self.ring.owner_at)
+            if message := self.gossip.next_message(self.now):
                 self.actions.append(api.Broadcast(message))
         self.retry_budget = min(MAX_RETRY_BUDGET, self.retry_budget + RETRY_SHARE)
         self._advance(req)
@@ -325,7 +327,7 @@
     def _on_timer(self, event: api.TimerFired) -> None:
         timer, _, name = event.token.partition(":")
         if timer == "list":
-            self.calls.asked(self.now)
+            self.discovery_calls.call_started(self.now)
             self.actions.append(api.Subscribe())
         elif timer == "idle" and (idle := self.servers.get(name)) is not None:
             idle.check_at = idle.check_at if self.now < idle.check_at - self.settings.resolution else math.inf
--- a/brackenwalk/shares.py
+++ b/brackenwalk/shares.py
@@ -136,4 +136,6 @@
         def whole(position: int) -> Server | None:
             return None if (server := first(position)) in self.reduced else server
 
-        self.hot_shares = self.demand.share_out(self.fair(), 1 + EPSILON, clockwise, self.key_share, whole)
+        self.hot_shares = self.demand.split_hot_keys(
+            self.fair(), 1 + EPSILON, clockwise, self.key_share, whole
+        )
--- /dev/null
+++ b/tests/test_gossip.py
@@ -0,0 +1,158 @@
+"""The traffic of peer messages is bounded, however many routers there are and whatever fails."""
+
+from __future__ import annotations
+
+import hashlib
+import random
+import struct
+from collections import Counter
+
+import pytest
+
+from brackenwalk import interface as api
+from brackenwalk.demand import DIGEST_BYTES, HEADER, KEY_ENTRY, MAX_KEYS, SERVER_ID, Demand, timestamp_of
+from brackenwalk.gossip import MAX_AGE_FACTOR, MAX_BYTES_PER_S, UDP_OVERHEAD_BYTES, Gossip
+from fleetlab import model
+from fleetlab.model import Fleet, shared_rings, zipf
+from tests.driver import Driver, entry, settings
+
+EMPTY = bytes(DIGEST_BYTES) + HEADER.pack(0, 0, 0)
+SERVERS = [entry(f"s{i}", zone="abcd"[i % 4]) for i in range(12)]
+
+
+def servers_in(message: bytes) -> list[int]:
+    """Return the ids of the servers that a message reports, by the format of `brackenwalk/demand.py`."""
+    body = message[DIGEST_BYTES:]
+    _, _, keys = HEADER.unpack_from(body)
+    return [server for (server,) in SERVER_ID.iter_unpack(body[HEADER.size + keys * KEY_ENTRY.size :])]
+
+
+@pytest.mark.parametrize("routers", [4, 40, 230])
+def test_servers_that_all_find_unhealthy_are_reported_by_few(
+    routers: int, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """Each router that met one of a zone's dead servers reported it to all others, again and again."""
+    monkeypatch.setattr(model, "ON_THE_WAY", 0.027)  # the longest delay of any site
+    with shared_rings():
+        fleet = Fleet(settings(may_gossip=True, aside=False), routers, SERVERS, hosted=True)
+        keys = zipf(240)
+        fleet.run(0.5, 12.0 * routers, keys)
+        fleet.messages.clear()
+        fleet.lose([s.server for s in SERVERS if s.zone == "a"])
+        fleet.run(4.0, 12.0 * routers, keys)
+    reports = [m for m in fleet.messages if servers_in(m)]
+    assert 0 < len(reports) < 4.0 * 15  # about five a second were measured, of 230 routers as of 40
+    for router in fleet.routers:
+        eased = {s.entry.server for s in router.servers.values() if s.health < 1}
+        assert {s.server for s in SERVERS if s.zone == "a"} <= eased
+
+
+def rate_of(siblings: int, keys: int) -> tuple[float, float]:
+    """Return bytes and messages a second that a router receives from its siblings, with `keys` in each."""
+    conf = settings(may_gossip=True, siblings=siblings)
+    gossip, now, size, count = Gossip(conf, random.Random(3), 0.0), 0.0, 0, 0
+    while now < 400.0:
+        now += 0.01
+        if gossip.due(now):
+            for key in range(keys):
+                gossip.demand.add(key)
+            message = gossip.next_message(now)
+            size += len(message) + UDP_OVERHEAD_BYTES if message else 0
+            count += bool(message)
+    return size / now * siblings, count / now * siblings
+
+
+@pytest.mark.parametrize("siblings", [40, 230, 600, 2300])
+@pytest.mark.parametrize("keys", [8, MAX_KEYS, 140])
+def test_the_bytes_of_key_counts_that_a_router_receives_are_bounded(siblings: int, keys: int) -> None:
+    """Forty senders of full messages made 30 KB/s at every router; 12 KB/s are for all control traffic."""
+    assert 0.7 * min(MAX_BYTES_PER_S, 40 * 4.0 * 77) < rate_of(siblings, keys)[0] < 1.3 * MAX_BYTES_PER_S
+
+
+@pytest.mark.parametrize(("siblings", "messages"), [(4, 16.0), (40, 160.0), (200, 160.0)])
+def test_routers_with_few_requests_send_at_the_full_rate(siblings: int, messages: float) -> None:
+    assert rate_of(siblings, 3)[1] == pytest.approx(messages, rel=0.25)
+
+
+def test_a_server_that_a_peer_has_reported_is_not_reported_again() -> None:
+    first, second = (Driver(settings(may_gossip=True, siblings=40), seed=s) for s in (1, 2))
+    for d in (first, second):
+        d.list(*SERVERS)
+        d.router._mark_unhealthy(d.router.servers["s1"])
+    content = first.router.gossip.next_message(first.now)
+    assert servers_in(content) == [first.router.servers["s1"].name_hash]
+    second.feed(api.PeerMessage(content))
+    assert servers_in(second.router.gossip.next_message(second.now) or EMPTY) == []
+    assert servers_in(first.router.gossip.next_message(first.now) or EMPTY) == []  # reported once
+
+
+def test_a_server_is_reported_again_while_it_fails() -> None:
+    d = Driver(settings(may_gossip=True, siblings=40))
+    d.list(*SERVERS)
+    reports: Counter[int] = Counter()
+    for _ in range(40):
+        d.now += 0.1
+        d.feed(api.TimerFired("the time"))
+        d.router._mark_unhealthy(d.router.servers["s1"])
+        reports.update(servers_in(d.router.gossip.next_message(d.now) or EMPTY))
+    assert (
+        8 <= reports[d.router.servers["s1"].name_hash] <= 16
+    )  # once for each cut that counts: four a second
+
+
+def test_unhealthy_servers_are_reported_without_key_counts_in_a_large_fleet() -> None:
+    """Each of 2,300 routers that found a server unhealthy sent thirty keys along with it."""
+    d = Driver(settings(may_gossip=True, siblings=2300))
+    d.list(*SERVERS)
+    sizes = []
+    for n in range(200):
+        for key in range(60):
+            d.router.gossip.demand.add(key)
+        d.now += 0.3
+        d.feed(api.TimerFired("the time"))
+        d.router._mark_unhealthy(d.router.servers[f"s{n % 12}"])
+        sizes.append(len(d.router.gossip.next_message(d.now)))
+    assert sorted(sizes)[180] == DIGEST_BYTES + HEADER.size + SERVER_ID.size
+
+
+def test_a_stale_message_changes_nothing_and_is_counted() -> None:
+    d = Driver(settings(may_gossip=True, siblings=40))
+    d.list(*SERVERS)
+    name = d.router.servers["s1"].name_hash
+    sender = Demand()
+    sender.add(7)
+    late = sender.next_message([name], now=d.now - MAX_AGE_FACTOR - 0.1)
+    assert d.feed(api.PeerMessage(late)) == []
+    assert d.feed(api.PeerMessage(late[:-1])) == []
+    assert d.router.servers["s1"].health == 1 and not d.router.demand.history.total
+    assert (d.router.demand.stale, d.router.demand.invalid) == (1, 1)
+    sender.add(7)
+    d.feed(api.PeerMessage(sender.next_message([name], now=d.now - MAX_AGE_FACTOR + 0.1)))
+    assert d.router.servers["s1"].health < 1 and d.router.demand.history.total == 1
+
+
+def test_the_timestamp_of_a_message_is_read_also_where_it_wraps_round() -> None:
+    for now in (655.35, 655.36, 655.4, 1_795_000_000.0):
+        sender, receiver = Demand(), Demand(1.0, 2.0)
+        sender.add(7)
+        receiver.receive(sender.next_message([], now=now - 1.0), now)
+        assert receiver.history.total == 1 and not receiver.stale
+    assert timestamp_of(655.36) == 0
+
+
+def test_unhealthy_servers_are_not_reported_where_peers_are_disabled() -> None:
+    d = Driver(settings(may_gossip=False, siblings=40))
+    d.list(*SERVERS)
+    for _ in range(20):
+        d.now += 0.5
+        d.router._mark_unhealthy(d.router.servers["s1"])
+        d.request(f"r{d.now}", key="k", finish=True)
+    assert not d.broadcasts
+
+
+def test_a_message_of_the_previous_format_is_ignored() -> None:
+    """Read in the present format it would count requests that nobody made."""
+    body = struct.pack(">HBIB", 600, 1, 7, 9) + bytes(2)
+    receiver = Demand()
+    receiver.receive(hashlib.blake2b(body, digest_size=DIGEST_BYTES).digest() + body)
+    assert receiver.invalid == 1 and not receiver.history.total
--- a/tests/test_net_turns.py
+++ b/tests/test_net_turns.py
@@ -14,8 +14,8 @@
 from brackenwalk import interface as api
 from brackenwalk.net import listener
 from brackenwalk.net.clients import PIECE, READ_PER_TURN, ClientConnection
-from tests.loopback import HIT, Link, Router, command, read, run
-from tests.test_terms_clients import NEVER, Roomy, at_once, leave_at_once, paused, turns
+from tests.loopback import HIT, Link, RouterHarness, command, read, run
+from tests.test_terms_clients import NEVER_S, LargeHarness, close_now, paused_client, run_loop, send_now
 
 FLOOD = 600  # commands that one client sends at once
 NO_COMMAND = read("flood", info="c=unheard-of,d=900")  # refused at once, so that no answer is waited for
@@ -35,11 +35,11 @@
         monkeypatch.setattr(ClientConnection, "_take", noted)
 
 
-async def flooded(router: Router, takes: Takes) -> Link:
+async def flooded(router: RouterHarness, takes: Takes) -> Link:
     """A client that has sent a flood, of which the first commands have just been taken."""
     flooding = await router.client()
-    await turns()
-    at_once(flooding, NO_COMMAND * FLOOD)
+    await run_loop()
+    send_now(flooding, NO_COMMAND * FLOOD)
     while not takes.order:
         await asyncio.sleep(0)
     return flooding
@@ -49,12 +49,12 @@
     """All that had come was taken in one turn: what others had sent, and all that was due, was late by it."""
 
     async def scenario() -> None:
-        async with Router() as router:
+        async with RouterHarness() as router:
             flooding, other = await router.client(), await router.client()
-            await turns()
+            await run_loop()
             takes = Takes(monkeypatch)
-            at_once(flooding, NO_COMMAND * FLOOD)
-            at_once(other, command("PING"))
+            send_now(flooding, NO_COMMAND * FLOOD)
+            send_now(other, command("PING"))
             assert await other.resp() == b"PONG"
             assert len(takes.order) <= 4 * READ_PER_TURN
             for _ in range(FLOOD):
@@ -65,10 +65,10 @@
 
 def test_no_more_of_a_flood_is_taken_once_its_client_has_left(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
-        async with Router() as router:
+        async with RouterHarness() as router:
             takes = Takes(monkeypatch)
-            leave_at_once(await flooded(router, takes))
-            await turns()
+            close_now(await flooded(router, takes))
+            await run_loop()
             assert len(takes.order) <= READ_PER_TURN and not router.listener.connections
 
     run(scenario)
@@ -78,7 +78,7 @@
     """Each answer would otherwise have a turn's commands taken, all of them in the same turn."""
 
     async def scenario() -> None:
-        async with Router() as router:
+        async with RouterHarness() as router:
             takes = Takes(monkeypatch)
             flooding = await flooded(router, takes)
             assert len(takes.order) <= READ_PER_TURN
@@ -96,7 +96,7 @@
     value = bytes(i % 251 for i in range(size))
 
     async def scenario() -> None:
-        async with Router() as router:
+        async with RouterHarness() as router:
             client = await router.client()
             client.write(command("C.SET", "k", "w1", "c=book,t=x,d=2000,k=5c0f", value) + read("r1"))
             origin = await router.origin.link()
@@ -111,11 +111,11 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """A dial that ended between two looks had its request written, for a client that had left before."""
-    monkeypatch.setattr(listener, "LOOK", NEVER)
+    monkeypatch.setattr(listener, "LOOK", NEVER_S)
 
     async def scenario() -> None:
-        async with Roomy() as router:
-            client, out = await paused(router)
+        async with LargeHarness() as router:
+            client, out = await paused_client(router)
             loop, gate = asyncio.get_running_loop(), asyncio.Event()
             connect = loop.create_connection
 
@@ -124,16 +124,16 @@
                 return await connect(*args)
 
             monkeypatch.setattr(loop, "create_connection", held_back)
-            at_once(out[b"r0"], b"*3\r\n$-1\r\n$4\r\nmiss\r\n$-1\r\n")
+            send_now(out[b"r0"], b"*3\r\n$-1\r\n$4\r\nmiss\r\n$-1\r\n")
             while not router.origins.dials:
                 await asyncio.sleep(0)
-            leave_at_once(client)
+            close_now(client)
             gate.set()
             while router.origins.dials:
                 await asyncio.sleep(0)
-            await turns()
+            await run_loop()
             assert not router.origins.connections and not router.host.router.pending
-            assert router.origin.links.empty() or await (await router.origin.link()).ended()
+            assert router.origin.links.empty() or await (await router.origin.link()).wait_closed()
 
     run(scenario)
 
@@ -145,7 +145,7 @@
     """The final answer that came behind it was lost."""
 
     async def scenario() -> None:
-        async with Router() as router:
+        async with RouterHarness() as router:
 
             def handle(now: float, event: api.Event) -> list[api.Action]:
                 if isinstance(event, api.Request):
@@ -168,7 +168,7 @@
     """Events that waited behind it were left to the next one, and its own request had no answer."""
 
     async def scenario() -> None:
-        async with Router() as router:
+        async with RouterHarness() as router:
             handle = router.host.router.handle
 
             def faulty(now: float, event: api.Event) -> list[api.Action]:
@@ -192,7 +192,7 @@
 
 def test_a_timer_that_faults_leaves_the_next_one_its_turn(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
-        async with Router() as router:
+        async with RouterHarness() as router:
             seen: list[str] = []
 
             def handle(now: float, event: api.Event) -> list[api.Action]:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -10,7 +10,7 @@
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
-from brackenwalk import calls, policy, state
+from brackenwalk import discovery_calls, policy, state
 from brackenwalk import interface as api
 from brackenwalk.net import discovery
 from brackenwalk.policy import Router
@@ -162,7 +162,7 @@
 def test_subscribes_and_backs_off_after_failures() -> None:
     d = Driver(settings(subscribe=True))
     d.list(*fleet("a"), kind=api.ListKind.SAVED)
-    d.wait(calls.CALL)
+    d.wait(discovery_calls.TURN_S)
     assert d.last_actions == [api.Subscribe()]
     pauses = []
     for _ in range(6):
@@ -189,9 +189,13 @@
         (turn,) = (a for a in d.last_actions if isinstance(a, api.SetTimer))
         turns.append(turn.delay)
     turns.sort()
-    assert turns[-1] < min(calls.CALL * siblings, 5.0)  # half of the 10 s in which each must have polled
+    # half of the 10 s in which each must have polled
+    assert turns[-1] < min(discovery_calls.TURN_S * siblings, 5.0)
     for start in turns:
-        assert sum(start <= t < start + 2.0 for t in turns) <= max(2.0 / calls.CALL, 0.4 * siblings) + 2
+        assert (
+            sum(start <= t < start + 2.0 for t in turns)
+            <= max(2.0 / discovery_calls.TURN_S, 0.4 * siblings) + 2
+        )
 
 
 def test_routers_given_a_new_discovery_together_do_not_poll_it_in_step() -> None:
@@ -234,7 +238,7 @@
     """The router is bound by what its local agent has received: a pause of half a warm-up broke rule 3."""
     conf = settings(siblings=siblings, drain_grace=0.5, overload_window=3.0, ramp=23.0)
     pauses = pauses_after_failures(conf, 20)
-    assert pauses[0] <= calls.CALL and max(pauses) <= 0.25
+    assert pauses[0] <= discovery_calls.TURN_S and max(pauses) <= 0.25
 
 
 def test_few_routers_poll_again_before_changes_bind_them() -> None:
@@ -486,7 +490,7 @@
 def test_a_silent_server_gets_one_trial_at_a_time_until_it_answers() -> None:
     d = Driver(settings())
     d.list(*fleet("a", "b"))
-    d.router.gossip.tell_at = math.inf  # no plan, or so hot a key would be spread
+    d.router.gossip.next_at = math.inf  # no plan, or so hot a key would be spread
     first, second = walk_order(d, "k")
     assert [d.request(f"r{n}", key="k") for n in "12"] == [first, first]
     d.now += 1.1
@@ -704,7 +708,7 @@
     d.list(*(entry(n, weight=2.0) for n in names))
     first = d.request("r", key="k", finish=True)
     d.list(*(entry(n, weight=0.5 if n == first else 1.0) for n in names))
-    d.router.gossip.tell_at = math.inf  # no plan, or so hot a key would be spread
+    d.router.gossip.next_at = math.inf  # no plan, or so hot a key would be spread
     sent = [d.request(f"r{n}", key="k", finish=True) for n in range(200)]
     assert 70 < sent.count(first) < 140  # reported load 3 against a cap of 1.56: half stay
 
@@ -958,7 +962,7 @@
     """Guards against attempts wasted on a server that fails at once and so looks fast and idle."""
     d = Driver(settings(**ASIDE))
     d.list(*fleet("a", "b"))
-    d.router.gossip.tell_at = math.inf  # no plan, or so hot a key would be spread
+    d.router.gossip.next_at = math.inf  # no plan, or so hot a key would be spread
     first, second = walk_order(d, "k")
     for n in range(policy.MAX_FAILURES):
         assert d.request(f"r{n}", key="k") == first
@@ -977,7 +981,7 @@
 def test_a_busy_server_does_not_count_as_failing() -> None:
     d = Driver(settings())
     d.list(*fleet("a", "b"))
-    d.router.gossip.tell_at = math.inf  # no plan, or so hot a key would be spread
+    d.router.gossip.next_at = math.inf  # no plan, or so hot a key would be spread
     first, _ = walk_order(d, "k")
     for n in range(2 * policy.MAX_FAILURES):
         assert d.request(f"r{n}", key="k") == first
@@ -1070,4 +1074,4 @@
         request = api.Request(f"x{i}", "unheard-of", 1.0, key="flood")
         assert d.router.handle(d.now, request) == [api.Refuse(request.id)]
     assert not d.router.pending and d.router.accepted == 0
-    assert not d.router.demand.long.times and not d.router.demand.untold
+    assert not d.router.demand.history.counts and not d.router.demand.unsent
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -88,7 +88,7 @@
             d.list(changed, kind=api.ListKind.DELTA)
         d.feed(api.TimerFired("the time"))
         if shares.caches:
-            shares.plan(d.router._clockwise, d.router.ring.first)
+            shares.plan(d.router._clockwise, d.router.ring.owner_at)
             expected = reference_shares(shares)
             got = {s.entry.server: f for s, f in shares.fair().items()}
             assert got == pytest.approx(expected)
@@ -111,7 +111,7 @@
         return started(server)
 
     monkeypatch.setattr(shares, "started_at", looked)
-    shares.plan(d.router._clockwise, d.router.ring.first)
+    shares.plan(d.router._clockwise, d.router.ring.owner_at)
     assert {s.entry.server for s in looked_at} <= {"s7"} and len(looked_at) < 100
 
 
