--- a/brackenwalk/__main__.py
+++ b/brackenwalk/__main__.py
@@ -14,12 +14,12 @@
 import orjson
 
 from brackenwalk import interface as api
-from brackenwalk.net.discovery import Discovery, ListError, read_list
+from brackenwalk.net.discovery import DiscoveryClient, ListError, read_list
 from brackenwalk.net.host import Host, Member
 from brackenwalk.net.listener import Listener
 from brackenwalk.net.origin import OriginConnection
-from brackenwalk.net.peers import Peers
-from brackenwalk.net.pool import Pool, address_of
+from brackenwalk.net.peers import PeerSocket
+from brackenwalk.net.pool import Pool, parse_address
 from brackenwalk.net.servers import CacheConnection
 from brackenwalk.settings import number, read_settings, section
 
@@ -28,7 +28,7 @@
 COUNTED = 3.0
 ANSWERED = 0.4  # seconds after it by which all are answered: those that came last have their time as well
 CLOSED = 0.6  # seconds after it by which the program ends
-RESERVE = 32  # descriptors for the loop, the log, the listener and discovery
+RESERVED_DESCRIPTORS = 32  # descriptors for the loop, the log, the listener and discovery
 
 
 class ConfigError(ValueError):
@@ -79,7 +79,7 @@
         index, _, known = read_list(table.get("known"), "known")
     except (api.SettingsError, ListError) as e:
         raise ConfigError(str(e)) from e
-    listen = address_of(read_address(table, "listen"))
+    listen = parse_address(read_address(table, "listen"))
     discovery = read_address(table, "discovery")
     return Config(listen, discovery, seed_number, sockets, index, known, settings, *read_peers(table))
 
@@ -103,7 +103,7 @@
         raise ConfigError(f"RELAY_CONFIG: {e}") from e
 
 
-def reread(path: str, discovery: Discovery, host: Host) -> None:
+def reread(path: str, discovery: DiscoveryClient, host: Host) -> None:
     """Take what SIGHUP may change, the address of discovery; a file that can't be used changes nothing."""
     try:
         config = read_config(read_file(path))
@@ -111,15 +111,15 @@
         logging.error("configuration not taken: %s", e)
         return
     logging.info("discovery is at %s", config.discovery)
-    if discovery.move(config.discovery):
-        host.discovery_moved()
+    if discovery.set_address(config.discovery):
+        host.on_discovery_moved()
 
 
 async def serve(path: str) -> None:
     """Serve until SIGTERM, and then what was taken."""
     config = read_config(read_file(path))
     settings = config.settings
-    room = config.sockets - RESERVE
+    room = config.sockets - RESERVED_DESCRIPTORS
     dial, idle = settings.dial_timeout, settings.connection_idle
     servers = Pool(CacheConnection, room * 3 // 8, dial, idle)
     origin = Pool(OriginConnection, room // 8, dial, idle)
@@ -128,14 +128,16 @@
         discovery.subscribe()
 
     host = Host(settings, config.seed, servers, origin, subscribe)
-    discovery = Discovery(config.discovery, config.known_index, host.list_told, host.list_failed)
-    host.list_told(api.ListKind.SAVED, config.known)
+    discovery = DiscoveryClient(
+        config.discovery, config.known_index, host.on_server_list, host.on_list_failed
+    )
+    host.on_server_list(api.ListKind.SAVED, config.known)
     if not settings.subscribe:
         discovery.subscribe()  # the module does not ask for what is pushed; it comes by the same calls
     peers = None
     if config.peer_listen is not None:
-        peers = Peers(config.peer_listen, config.peers, config.peers_all, host.peer_heard)
-        host.tell = peers.tell
+        peers = PeerSocket(config.peer_listen, config.peers, config.peers_all, host.on_peer_message)
+        host.broadcast = peers.broadcast
         await peers.start()
     listener = Listener(host, room // 2)
     terminated = asyncio.Event()
@@ -151,7 +153,7 @@
     await terminated.wait()
     logging.info("ending: no new connections in %g s", STILL_COMING)
     longest = min(COUNTED, max(c.give_up for c in settings.classes.values()))
-    host.ending(longest + ANSWERED)
+    host.begin_shutdown(longest + ANSWERED)
     await listener.stop(STILL_COMING, longest + CLOSED - STILL_COMING)
     discovery.close()
     if peers is not None:
--- a/brackenwalk/net/clients.py
+++ b/brackenwalk/net/clients.py
@@ -11,23 +11,25 @@
 
 import hiredis
 
-from brackenwalk.net.command import MAX_INFO, MAX_KEY, MAX_VALUE, CommandError, read_command
+from brackenwalk.net.command import MAX_INFO_BYTES, MAX_KEY_BYTES, MAX_VALUE_BYTES, CommandError, read_command
 from brackenwalk.net.host import Host
 from brackenwalk.net.pool import ended, readable
-from brackenwalk.net.resp import NOT_YET, Reader
+from brackenwalk.net.resp import INCOMPLETE, Reader
 
-MAX_COMMAND = MAX_VALUE + MAX_KEY + MAX_INFO + 4096  # bytes held for a command that is not whole
+MAX_COMMAND_BYTES = (
+    MAX_VALUE_BYTES + MAX_KEY_BYTES + MAX_INFO_BYTES + 4096
+)  # bytes held for a command that is not whole
 MAX_PIPELINED = 32  # commands of one connection that wait for their answers
 # commands of one connection that are read in one turn of the event loop: a client that sends hundreds at once
 # would hold up the answers to all others, and what is due in that turn is late by all of it
-READ_PER_TURN = 32
-PIECE = 4096  # bytes that are parsed at once, for the same reason
-PATIENCE = 2.5  # seconds for a first whole command: an error line or a close is owed within 3
-LINGER = 1.0  # seconds for which a client may take its time to end a connection that the router has ended
+MAX_COMMANDS_PER_TURN = 32
+PARSE_CHUNK_BYTES = 4096  # bytes that are parsed at once, for the same reason
+FIRST_COMMAND_TIMEOUT_S = 2.5  # seconds for a first whole command: an error line or a close is owed within 3
+LINGER_S = 1.0  # seconds for which a client may take its time to end a connection that the router has ended
 LINGER_UNSENT = 10.0  # the same while it has not taken all that it was answered
 LINGER_READ = 1 << 20  # bytes that are read and dropped meanwhile
-STALLED = 2.0  # seconds without a byte after which half a command does not hold a descriptor any more
-NOT_IN_TIME = "-ERR no command came in time"
+STALL_TIMEOUT_S = 2.0  # seconds without a byte after which half a command does not hold a descriptor any more
+ERR_COMMAND_TIMEOUT = "-ERR no command came in time"
 log = logging.getLogger(__name__)
 
 
@@ -64,15 +66,15 @@
     def __init__(self, host: Host, listener: ConnectionRegistry) -> None:
         self.host = host
         self.listener = listener
-        self.reader = Reader(parts=b":-$")  # a simple string as a part would pass for a bulk string
-        self.incomplete = 0  # bytes since the last whole command
+        self.reader = Reader(element_types=b":-$")  # a simple string as a part would pass for a bulk string
+        self.incomplete_bytes = 0  # bytes since the last whole command
         self.unparsed = b""  # received and not handed to the parser yet
         self.next_turn: asyncio.Handle | None = None  # in which commands that were held back are taken
         self.received_at = 0.0  # when the last bytes came
         self.slots: deque[Slot] = deque()
         self.reading = True
         self.writable = True
-        self.ending = False  # no command is taken any more
+        self.closing = False  # no command is taken any more
         self.lingered: asyncio.TimerHandle | None = None
         self.dropped = 0  # bytes that came after the router's end
 
@@ -81,7 +83,7 @@
         self.transport = transport
         self.listener.connections[self] = None
         loop = asyncio.get_running_loop()
-        self.patience = loop.call_later(PATIENCE, self.end_with, NOT_IN_TIME)
+        self.patience = loop.call_later(FIRST_COMMAND_TIMEOUT_S, self.end_with, ERR_COMMAND_TIMEOUT)
 
     def data_received(self, data: bytes) -> None:
         if self in self.listener.lingering:  # too late to be taken: the client sees our end before any answer
@@ -89,9 +91,9 @@
             if self.dropped > LINGER_READ:
                 self.cut()
             return
-        if self.look():  # what came just before the end is for nobody any more
+        if self.check_client():  # what came just before the end is for nobody any more
             return
-        if self.ending:  # read on only to see the client's end, and kept nowhere
+        if self.closing:  # read on only to see the client's end, and kept nowhere
             return
         self.unparsed += data
         self.received_at = asyncio.get_running_loop().time()
@@ -112,7 +114,7 @@
 
     def _take_some(self) -> bool:
         """Take a turn's commands; answers with whether more may be there that could be taken now."""
-        for _ in range(READ_PER_TURN):
+        for _ in range(MAX_COMMANDS_PER_TURN):
             # a closing connection takes nothing more: nobody would hear that its client is gone
             if not self._wanted() or self.transport.is_closing():
                 return False
@@ -121,24 +123,28 @@
             except (hiredis.ProtocolError, MemoryError) as e:
                 self.end_with(f"-ERR {e}")
                 return False
-            if parts is NOT_YET:
-                if self.incomplete > MAX_COMMAND:
+            if parts is INCOMPLETE:
+                if self.incomplete_bytes > MAX_COMMAND_BYTES:
                     self.end_with("-ERR command is too long")
                 return False
-            self._take(parts)
+            self._process_command(parts)
         return True
 
     def _next_command(self) -> object:
-        """The next whole command's parts, or NOT_YET; hands the parser no more bytes than that takes."""
-        while (parts := self.reader.gets()) is NOT_YET and self.unparsed and self.incomplete <= MAX_COMMAND:
-            piece, self.unparsed = self.unparsed[:PIECE], self.unparsed[PIECE:]
-            self.incomplete += len(piece)
+        """The next whole command's parts, or INCOMPLETE; hands the parser no more bytes than that takes."""
+        while (
+            (parts := self.reader.gets()) is INCOMPLETE
+            and self.unparsed
+            and self.incomplete_bytes <= MAX_COMMAND_BYTES
+        ):
+            piece, self.unparsed = self.unparsed[:PARSE_CHUNK_BYTES], self.unparsed[PARSE_CHUNK_BYTES:]
+            self.incomplete_bytes += len(piece)
             self.reader.feed(piece)
-        if parts is not NOT_YET:
-            self.incomplete = self.reader.held()
+        if parts is not INCOMPLETE:
+            self.incomplete_bytes = self.reader.held()
         return parts
 
-    def _take(self, parts: object) -> None:
+    def _process_command(self, parts: object) -> None:
         slot = Slot()
         self.slots.append(slot)
         answer = partial(self._answer, slot)
@@ -152,8 +158,8 @@
             answer(b"-ERR %b\r\n" % str(e).encode("ascii", "replace"))
             return
         self.patience.cancel()
-        slot.request = command.request.decode()
-        if self.host.take(command, answer, self.look) is None:
+        slot.request = command.request_id.decode()
+        if self.host.submit(command, answer, self.check_client) is None:
             slot.request = None
             answer(b"-ERR this request id is in use\r\n")
 
@@ -163,14 +169,14 @@
             self.transport.write(self.slots.popleft().answer or b"")
         if not self.slots:
             self.listener.rest(self)
-        if self.ending and not self.slots:
+        if self.closing and not self.slots:
             self.shut()
         elif not self.reading:
             self._go_on_soon()
 
     def end_with(self, error: str) -> None:
         """Answer with an error and close: where the next command begins can't be told any more."""
-        self.ending = True
+        self.closing = True
         self.unparsed = b""
         slot = Slot()
         self.slots.append(slot)
@@ -178,7 +184,7 @@
 
     def _wanted(self) -> bool:
         """Whether one more command may be taken."""
-        return not self.ending and self.writable and len(self.slots) < MAX_PIPELINED
+        return not self.closing and self.writable and len(self.slots) < MAX_PIPELINED
 
     def _read_or_not(self) -> None:
         """Bounds what a client can make the router hold: no reading while too much is unanswered."""
@@ -191,7 +197,7 @@
             if not wanted:
                 self.listener.watch(self)
 
-    def look(self) -> bool:
+    def check_client(self) -> bool:
         """Notice the client's end if it has come, whether or not the event loop has got to it."""
         gone = not self.transport.is_closing() and ended(self.transport)
         if gone:
@@ -206,7 +212,7 @@
     def _go_on(self) -> None:
         """Take commands that were held back, which may have outlasted their client."""
         self.next_turn = None
-        if not self.look():
+        if not self.check_client():
             self._take_commands()
 
     def pause_writing(self) -> None:
@@ -217,18 +223,24 @@
         self.writable = True
         self._go_on_soon()
 
-    def idle(self) -> bool:
+    def is_idle(self) -> bool:
         """Whether nothing is owed, begun or unread."""
-        if self.slots or self.incomplete or self.unparsed or self.transport.is_closing():
+        if self.slots or self.incomplete_bytes or self.unparsed or self.transport.is_closing():
             return False
         return not readable(self.transport)
 
     def stalled(self) -> bool:
         """Whether all that holds it is half a command that does not go on."""
-        if self.slots or not self.incomplete or self.unparsed or self.unsent() or self.transport.is_closing():
+        if (
+            self.slots
+            or not self.incomplete_bytes
+            or self.unparsed
+            or self.unsent()
+            or self.transport.is_closing()
+        ):
             return False
         silence = asyncio.get_running_loop().time() - self.received_at
-        return silence > STALLED and not readable(self.transport)
+        return silence > STALL_TIMEOUT_S and not readable(self.transport)
 
     def unsent(self) -> bool:
         """Whether the client has not taken all its answers."""
@@ -241,11 +253,11 @@
         """
         if self.transport.is_closing() or self in self.listener.lingering:
             return
-        self.ending = True
+        self.closing = True
         self.patience.cancel()
         loop = asyncio.get_running_loop()
         self.until, self.late = loop.time() + LINGER_UNSENT, self.unsent()
-        self.lingered = loop.call_later(LINGER, self._lingered)
+        self.lingered = loop.call_later(LINGER_S, self._lingered)
         self.listener.linger(self)
         try:
             self.transport.write_eof()
@@ -259,7 +271,7 @@
         loop = asyncio.get_running_loop()
         late, self.late = self.late, self.unsent()  # our end may have gone out only now
         if (late or self.late) and loop.time() < self.until:
-            self.lingered = loop.call_later(LINGER, self._lingered)
+            self.lingered = loop.call_later(LINGER_S, self._lingered)
         else:
             self.cut()
 
@@ -280,7 +292,7 @@
         slots, self.slots = self.slots, deque()
         for slot in slots:
             if slot.answer is None and slot.request is not None:
-                self.host.client_gone(slot.request)
+                self.host.on_client_gone(slot.request)
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.listener.forget(self)
--- a/brackenwalk/net/command.py
+++ b/brackenwalk/net/command.py
@@ -5,9 +5,9 @@
 import re
 from dataclasses import dataclass
 
-MAX_VALUE = 64 * 1024
-MAX_KEY = 1024
-MAX_INFO = 1024
+MAX_VALUE_BYTES = 64 * 1024
+MAX_KEY_BYTES = 1024
+MAX_INFO_BYTES = 1024
 MAX_DEADLINE_MS = 600_000
 VISIBLE = re.compile(rb"[!-~]+")
 # the origin's own paths, and those that a path's readers resolve away: as keys they would be other requests
@@ -24,7 +24,7 @@
 
     verb: bytes
     key: bytes
-    request: bytes
+    request_id: bytes
     info: dict[str, str]
     deadline_ms: int
     value: bytes | None = None
@@ -33,7 +33,7 @@
     def write(self) -> bool:
         return self.value is not None
 
-    def info_for(self, time_left: float) -> bytes:
+    def encode_info(self, time_left: float) -> bytes:
         """The names and values in their order, with `d` telling how long the router will wait."""
         told = self.info | {"d": str(max(1, int(time_left * 1000)))}
         return ",".join(f"{name}={value}" for name, value in told.items()).encode()
@@ -42,7 +42,7 @@
 def read_info(text: bytes) -> dict[str, str]:
     """The list of names and values after the request's id."""
     # guards the origin: a line break in here would go on as a header or a request of its own
-    if len(text) > MAX_INFO or not VISIBLE.fullmatch(text):
+    if len(text) > MAX_INFO_BYTES or not VISIBLE.fullmatch(text):
         raise CommandError("names and values must be visible ASCII, 1024 bytes at most")
     info: dict[str, str] = {}
     for pair in text.decode().split(","):
@@ -63,7 +63,7 @@
     if len(parts) != (4 if verb == b"C.GET" else 5):
         raise CommandError(f"wrong number of arguments for {verb.decode()}")
     key, request = parts[1], parts[2]
-    if not 0 < len(key) <= MAX_KEY or key in RESERVED_KEYS:
+    if not 0 < len(key) <= MAX_KEY_BYTES or key in RESERVED_KEYS:
         raise CommandError("key is empty, too long or reserved")
     if len(request) > 64 or not VISIBLE.fullmatch(request):
         raise CommandError("request id must be visible ASCII, 64 bytes at most")
@@ -73,6 +73,6 @@
     if not deadline.isdigit() or len(deadline) > 9 or int(deadline) > MAX_DEADLINE_MS:
         raise CommandError("d must be a whole number of milliseconds, 600000 at most")
     value = parts[4] if verb == b"C.SET" else None
-    if value is not None and len(value) > MAX_VALUE:
+    if value is not None and len(value) > MAX_VALUE_BYTES:
         raise CommandError("value is longer than 65536 bytes")
     return Command(parts[0], key, request, info, int(deadline), value)
--- a/brackenwalk/net/discovery.py
+++ b/brackenwalk/net/discovery.py
@@ -14,19 +14,19 @@
 from brackenwalk import interface as api
 from brackenwalk.net.host import Member
 from brackenwalk.net.http import HttpClient, HttpError
-from brackenwalk.net.pool import address_of
+from brackenwalk.net.pool import parse_address
 
 STATES = {"in_service": api.State.READY, "terminating": api.State.DRAINING, "terminated": api.State.GONE}
 MAX_LIST = 4 * 1024 * 1024
 # with the margin, 5 s: after 6 s news that did not arrive counts as told, and a new call takes time as well
-WATCH_WAIT = 3.0
-ANSWER_MARGIN = 2.0  # for which discovery may keep a call waiting in turn before that
+WATCH_WAIT_S = 3.0
+RESPONSE_MARGIN_S = 2.0  # for which discovery may keep a call waiting in turn before that
 # after an answer with no news, so that an agent that never waits is not asked in a spin; a call more than
 # 200 ms after the last answer would be a new watch, in turn with all others
-EMPTY_PAUSE = 0.05
+EMPTY_RESPONSE_PAUSE_S = 0.05
 # for the connection, which waits for nobody's turn: one that never comes up would take most of the time after
 # which news counts as told; the system itself sends a lost SYN again only after as long
-DIAL = 1.0
+DIAL_TIMEOUT_S = 1.0
 PEEK = 0.001  # the wait of the first call to another discovery, which may count its versions anew
 log = logging.getLogger(__name__)
 
@@ -77,33 +77,33 @@
     return field(message, "index", int, where), field(message, "snapshot", bool, where), members
 
 
-class Discovery:
+class DiscoveryClient:
     """Watches the list when asked to; a call that fails ends the watch."""
 
     def __init__(
         self,
         address: str,
         index: int,
-        told: Callable[[api.ListKind, list[Member]], None],
-        failed: Callable[[], None],
+        on_list: Callable[[api.ListKind, list[Member]], None],
+        on_failure: Callable[[], None],
     ) -> None:
         self.address = address
         self.index = index
-        self.told = told
-        self.failed = failed
+        self.on_list = on_list
+        self.on_failure = on_failure
         self.asked = address  # by the watch's latest call
         self.met = True  # whether the list held is known to be of the discovery at this address
-        self.watch: asyncio.Task[None] | None = None
+        self.watch_task: asyncio.Task[None] | None = None
 
     def subscribe(self) -> None:
         """Begin a watch, unless one is on; one that waits at an old address makes way."""
-        if self.watch is not None and self.asked != self.address:
-            self.watch.cancel()
-            self.watch = None
-        if self.watch is None:
-            self.watch = asyncio.create_task(self._watch())
+        if self.watch_task is not None and self.asked != self.address:
+            self.watch_task.cancel()
+            self.watch_task = None
+        if self.watch_task is None:
+            self.watch_task = asyncio.create_task(self._watch())
 
-    def move(self, address: str) -> bool:
+    def set_address(self, address: str) -> bool:
         """Ask at another address from the next call on; tells whether it is another."""
         moved, self.address = address != self.address, address
         self.met = self.met and not moved
@@ -113,7 +113,7 @@
         try:
             while True:
                 began = time.monotonic()
-                wait = WATCH_WAIT if self.met else PEEK
+                wait = WATCH_WAIT_S if self.met else PEEK
                 news = await self._call(f"?after={self.index}&wait_ms={math.ceil(wait * 1000)}", wait)
                 if news[0] < self.index and not news[1]:
                     # a discovery that counts anew would tell nothing until it has come as far as the old one
@@ -122,23 +122,23 @@
                         raise ListError("answered with changes when asked for the whole list")
                 self.met = self.met or self.asked == self.address
                 self.index, whole, members = news
-                self.told(api.ListKind.FULL if whole else api.ListKind.DELTA, members)
+                self.on_list(api.ListKind.FULL if whole else api.ListKind.DELTA, members)
                 if not members:
-                    await asyncio.sleep(EMPTY_PAUSE)
+                    await asyncio.sleep(EMPTY_RESPONSE_PAUSE_S)
         except Exception as e:
             # guards the list: whatever went wrong, the module must hear of it, or it would never ask again
             known = isinstance(e, (OSError, HttpError, ListError, orjson.JSONDecodeError))
             level, waited = logging.WARNING if known else logging.ERROR, time.monotonic() - began
             log.log(level, "discovery, after %.3f s: %s", waited, repr(e)[:200])
-        self.watch = None  # a cancelled one has been replaced, or is not to be
-        self.failed()
+        self.watch_task = None  # a cancelled one has been replaced, or is not to be
+        self.on_failure()
 
     async def _call(self, query: str, wait: float = 0.0) -> tuple[int, bool, list[Member]]:
         # guards against a discovery that has gone silent: what it has to tell counts as told soon after
         self.asked = self.address
-        async with asyncio.timeout(wait + ANSWER_MARGIN):
-            async with asyncio.timeout(DIAL):
-                reader, writer = await asyncio.open_connection(*address_of(self.asked))
+        async with asyncio.timeout(wait + RESPONSE_MARGIN_S):
+            async with asyncio.timeout(DIAL_TIMEOUT_S):
+                reader, writer = await asyncio.open_connection(*parse_address(self.asked))
             try:
                 client = HttpClient(self.asked, MAX_LIST)
                 request = client.request("GET", "/registry/instances" + query, [(b"Connection", b"close")])
@@ -153,5 +153,5 @@
         return read_list(orjson.loads(response.body))
 
     def close(self) -> None:
-        if self.watch is not None:
-            self.watch.cancel()
+        if self.watch_task is not None:
+            self.watch_task.cancel()
--- a/brackenwalk/net/host.py
+++ b/brackenwalk/net/host.py
@@ -20,7 +20,7 @@
 
 # before the client's deadline, which counts from its send: measured, the way takes 1.3 ms at most in each
 # direction and this process 1.4 ms at the 99th percentile; the rest is for a core that others keep busy
-DEADLINE_MARGIN = 0.02
+DEADLINE_MARGIN_S = 0.02
 FAILED = b"-ERR failed\r\n"
 log = logging.getLogger(__name__)
 
@@ -47,14 +47,14 @@
 
 
 @dataclass(slots=True, eq=False)
-class Taken:
+class TrackedRequest:
     """A request, kept until its deadline has passed and nothing of it is out."""
 
     command: Command
     deadline: float
     answer: Callable[[bytes], None]
-    look: Callable[[], object]  # notices a client that has gone
-    sent: int = 0  # attempts, whatever became of them
+    check_client: Callable[[], object]  # notices a client that has gone
+    attempt_count: int = 0  # attempts, whatever became of them
     closed: bool = False  # answered, or its client is gone
     overdue: bool = False
     timer: asyncio.TimerHandle | None = None  # at the deadline
@@ -79,11 +79,11 @@
         self.servers = servers
         self.origin = origin
         self.subscribe = subscribe
-        self.tell: Callable[[bytes], None] = lambda content: None  # until there is a socket for it
+        self.broadcast: Callable[[bytes], None] = lambda content: None  # until there is a socket for it
         self.clock = Clock()
         self.router = Router(settings, seed, self.clock.now())
         self.members: dict[str, Member] = {}
-        self.requests: dict[str, Taken] = {}
+        self.requests: dict[str, TrackedRequest] = {}
         self.end = math.inf  # the deadline of all
         self.events: deque[api.Event] = deque()
         self.handling = False
@@ -97,7 +97,7 @@
         try:
             while self.events:
                 for action in self._decide(self.events.popleft()):
-                    self._carry_out_alone(action)
+                    self._execute_isolated(action)
         finally:
             self.handling = False
 
@@ -110,21 +110,21 @@
             log.exception("module fault on %s: report it with this trace", type(event).__name__)
             return list(self.router.out)
 
-    def _carry_out_alone(self, action: api.Action) -> None:
+    def _execute_isolated(self, action: api.Action) -> None:
         """Carry out an action so that a fault costs no other: the answer of another may come next."""
         try:
-            self._carry_out(action)
+            self._execute(action)
         except Exception:
             log.exception("fault on %s: report it with this trace", type(action).__name__)
 
-    def _carry_out(self, action: api.Action) -> None:
+    def _execute(self, action: api.Action) -> None:
         match action:
             case api.Send():
                 self._send(action)
             case api.Refuse():
                 self._refuse(action)
             case api.Fail():
-                self._close(action.request, FAILED)
+                self._respond(action.request, FAILED)
             case api.Cancel():
                 self._cancel(action)
             case api.Close():
@@ -136,7 +136,7 @@
             case api.Subscribe():
                 self.subscribe()
             case api.Tell():
-                self.tell(action.content)
+                self.broadcast(action.content)
             case api.Log():
                 log.info("%s", action.text)
 
@@ -146,13 +146,13 @@
         """Whether any cache server may be sent to."""
         return any(m.entry.ready and not self._is_origin(m) for m in self.members.values())
 
-    def list_failed(self) -> None:
+    def on_list_failed(self) -> None:
         self.post(api.ServerList(api.ListKind.FAILED))
 
-    def discovery_moved(self) -> None:
+    def on_discovery_moved(self) -> None:
         self.post(api.ServerList(api.ListKind.MOVED))
 
-    def list_told(self, kind: api.ListKind, members: list[Member]) -> None:
+    def on_server_list(self, kind: api.ListKind, members: list[Member]) -> None:
         """Take a list or its changes."""
         if kind is not api.ListKind.DELTA:
             self.members = {}
@@ -183,25 +183,28 @@
     def _pool(self, server: str) -> Pool:
         return self.origin if self._is_origin(self.members[server]) else self.servers
 
-    def peer_heard(self, content: bytes) -> None:
+    def on_peer_message(self, content: bytes) -> None:
         self.post(api.PeerMessage(content))
 
     # Requests
 
-    def take(
-        self, command: Command, answer: Callable[[bytes], None], look: Callable[[], object] = lambda: None
+    def submit(
+        self,
+        command: Command,
+        answer: Callable[[bytes], None],
+        check_client: Callable[[], object] = lambda: None,
     ) -> str | None:
         """Take a request that is owed one `answer`; None when one with its id is still known.
 
-        Before each attempt `look` tells by `client_gone` of a client's end that has just come.
+        Before each attempt `check_client` tells by `on_client_gone` of a client's end that has just come.
         """
-        name = command.request.decode()
+        name = command.request_id.decode()
         # guards the table: two requests under one id would get each other's answers
         if name in self.requests:
             return None
         now = self.clock.now()
-        time_left = max(0.0, min(command.deadline_ms / 1000 - DEADLINE_MARGIN, self.end - now))
-        taken = self.requests[name] = Taken(command, now + time_left, answer, look)
+        time_left = max(0.0, min(command.deadline_ms / 1000 - DEADLINE_MARGIN_S, self.end - now))
+        taken = self.requests[name] = TrackedRequest(command, now + time_left, answer, check_client)
         taken.timer = asyncio.get_running_loop().call_later(time_left, self._overdue, name)
         hint = command.info.get("h", "")
         request = api.Request(
@@ -215,14 +218,14 @@
         self.post(request)
         return name
 
-    def client_gone(self, name: str) -> None:
+    def on_client_gone(self, name: str) -> None:
         """The client of a request closed its connection."""
         taken = self.requests.get(name)
         if taken is not None and not taken.closed:
             self._settle(taken, name)
             self.post(api.ClientGone(name))
 
-    def ending(self, time_left: float) -> None:
+    def begin_shutdown(self, time_left: float) -> None:
         """This process ends by then: nobody would answer what is still open."""
         self.end = self.clock.now() + time_left
         for name, taken in self.requests.items():
@@ -243,17 +246,17 @@
         if not taken.closed:
             # guards the client against a fault of ours: it would wait for an answer that nobody owes any more
             log.error("request %s: no answer by its deadline, failed by the host", name)
-            self._close(name, FAILED)
+            self._respond(name, FAILED)
             self.post(api.ClientGone(name))
 
-    def _close(self, name: str, answer: bytes) -> None:
+    def _respond(self, name: str, answer: bytes) -> None:
         """Give a request its one answer."""
         taken = self.requests.get(name)
         if taken is not None and not taken.closed:
             self._settle(taken, name)
             taken.answer(answer)
 
-    def _settle(self, taken: Taken, name: str) -> None:
+    def _settle(self, taken: TrackedRequest, name: str) -> None:
         """Nothing is owed any more; kept until the deadline for what is still to come of it."""
         taken.closed = True
         for attempt in list(taken.attempts.values()):
@@ -266,7 +269,7 @@
     def _refuse(self, action: api.Refuse) -> None:
         """A refusal at once, that tells the client when to come back if the module has advice."""
         pause = math.ceil(action.come_back * 1000)
-        self._close(action.request, b"-BUSY %d\r\n" % pause if pause else b"-BUSY\r\n")
+        self._respond(action.request, b"-BUSY %d\r\n" % pause if pause else b"-BUSY\r\n")
 
     # Attempts
 
@@ -276,11 +279,11 @@
             log.error("a send for %s, which is long over", action.request)
             return
         now = self.clock.now()
-        attempt = Attempt(taken.sent, now)
-        taken.sent += 1
+        attempt = Attempt(taken.attempt_count, now)
+        taken.attempt_count += 1
         taken.attempts[attempt.number] = attempt
         if not taken.closed:  # guards against work for nobody: events of one turn come in any order
-            taken.look()
+            taken.check_client()
         over = taken.closed or taken.overdue or attempt.number >= self.settings.max_attempts
         if over or action.server not in self.members:
             self._finish(taken, attempt, api.Status.MOOT if over else api.Status.CONNECT_FAILED)
@@ -291,12 +294,12 @@
             loop = asyncio.get_running_loop()
             attempt.timer = loop.call_later(time_left, self._time_out, taken, attempt)
 
-        def done(status: api.Status, value: bytes) -> None:
+        def on_done(status: api.Status, value: bytes) -> None:
             self._finish(taken, attempt, status, value)
 
         attempt.to = self.members[action.server]
         pool, address = self._pool(action.server), attempt.to.address
-        attempt.exchange = pool.start(address, taken.command, time_left, done, taken.look)
+        attempt.exchange = pool.start(address, taken.command, time_left, on_done, taken.check_client)
 
     def _cancel(self, action: api.Cancel) -> None:
         taken = self.requests.get(action.request)
@@ -304,22 +307,24 @@
         if taken is not None and attempt is not None:
             self._give_up(taken, attempt, api.Status.CANCELLED)
 
-    def _time_out(self, taken: Taken, attempt: Attempt) -> None:
+    def _time_out(self, taken: TrackedRequest, attempt: Attempt) -> None:
         self._give_up(taken, attempt, api.Status.TIMEOUT)
 
-    def _give_up(self, taken: Taken, attempt: Attempt, status: api.Status) -> None:
+    def _give_up(self, taken: TrackedRequest, attempt: Attempt, status: api.Status) -> None:
         if attempt.exchange is not None:
             attempt.exchange.abandon()
         self._finish(taken, attempt, status)
 
-    def _finish(self, taken: Taken, attempt: Attempt, status: api.Status, value: bytes = b"") -> None:
+    def _finish(
+        self, taken: TrackedRequest, attempt: Attempt, status: api.Status, value: bytes = b""
+    ) -> None:
         """Give an attempt its one outcome; the first that served answers the client."""
         if taken.attempts.pop(attempt.number, None) is None:
             return
         if attempt.timer is not None:
             attempt.timer.cancel()
-        name = taken.command.request.decode()
+        name = taken.command.request_id.decode()
         if status is api.Status.OK:
-            self._close(name, b"$%d\r\n%b\r\n" % (len(value), value))
+            self._respond(name, b"$%d\r\n%b\r\n" % (len(value), value))
         latency = self.clock.now() - attempt.sent_at
         self.post(api.Outcome(name, attempt.number, status, taken.closed, latency))
--- a/brackenwalk/net/http.py
+++ b/brackenwalk/net/http.py
@@ -7,10 +7,10 @@
 
 import h11
 
-MAX_FRAMING = 16 * 1024  # of a head, of a chunk's line, or of the last one's with the trailers
+MAX_FRAMING_BYTES = 16 * 1024  # of a head, of a chunk's line, or of the last one's with the trailers
 MAX_INFORMATIONAL = 16  # answers before the one that counts
 # bytes of a head or of chunks that h11 gets together: those that it has not read are copied at each event
-PIECE = 4096
+PARSE_CHUNK_BYTES = 4096
 # guards against another end of a head or body than the sender's: h11 lets pass line ends without CR, folded
 # lines, other versions, control characters and chunk extensions of any form (RFC 9112, 2.2, 4, 5 and 7.1)
 TEXT = rb"[\t \x21-\x7e\x80-\xff]"
@@ -44,12 +44,12 @@
     def __init__(self, address: str, max_body: int) -> None:
         self.address = address
         self.max_body = max_body
-        self.connection = h11.Connection(h11.CLIENT, MAX_FRAMING)
+        self.connection = h11.Connection(h11.CLIENT, MAX_FRAMING_BYTES)
         self.head: h11.Response | None = None
         self.informational = 0  # of its answers so far
         self.body = bytearray()
         self.raw = b""  # bytes that came since h11's last event
-        self.step = PIECE
+        self.step = PARSE_CHUNK_BYTES
 
     def request(
         self, method: str, target: str, headers: list[tuple[bytes, bytes]], body: bytes | None = None
@@ -61,7 +61,7 @@
         self.informational = 0
         self.body.clear()
         self.raw = b""
-        self.step = PIECE
+        self.step = PARSE_CHUNK_BYTES
         fields = [(b"Host", self.address.encode()), *headers]
         if body is not None:
             fields.append((b"Content-Length", str(len(body)).encode()))
@@ -94,7 +94,7 @@
                 if isinstance(event, h11.Response):
                     self.head = event
                     chunked = any(name == b"transfer-encoding" for name, _ in event.headers)
-                    self.step = PIECE if chunked else max(PIECE, self.max_body)
+                    self.step = PARSE_CHUNK_BYTES if chunked else max(PARSE_CHUNK_BYTES, self.max_body)
                 else:
                     self.informational += 1
                     if self.informational > MAX_INFORMATIONAL:
@@ -125,8 +125,8 @@
 
     @staticmethod
     def _check(grammar: re.Pattern[bytes], framing: bytes) -> None:
-        if len(framing) > MAX_FRAMING or not grammar.fullmatch(framing):
-            raise HttpError(f"malformed, or over {MAX_FRAMING} bytes: {framing[:80]!r}")
+        if len(framing) > MAX_FRAMING_BYTES or not grammar.fullmatch(framing):
+            raise HttpError(f"malformed, or over {MAX_FRAMING_BYTES} bytes: {framing[:80]!r}")
 
     @staticmethod
     def _check_length(event: h11.Response | h11.InformationalResponse, head: bytes) -> None:
--- a/brackenwalk/net/listener.py
+++ b/brackenwalk/net/listener.py
@@ -9,16 +9,16 @@
 import socket
 from contextlib import suppress
 
-from brackenwalk.net.clients import NOT_IN_TIME, ClientConnection
+from brackenwalk.net.clients import ERR_COMMAND_TIMEOUT, ClientConnection
 from brackenwalk.net.host import Host
 
 # seconds between looks for the end of clients that are not read from: asyncio tells of none then, and 0.1 s
 # after it no attempt may begin; a look late by a turn of a busy loop has to be in time as well
-LOOK = 0.025
+DISCONNECT_POLL_S = 0.025
 SPARE = 8  # of so many descriptors for clients one is for those that linger
 ROOM_LOOK = 0.25  # seconds between looks for a connection that may go: nothing tells that one has stalled
 BACKLOG = 512
-ACCEPT_PAUSE = 0.1  # after a failed accept, so that running out of descriptors does not spin
+ACCEPT_RETRY_S = 0.1  # after a failed accept, so that running out of descriptors does not spin
 SHED = 16  # descriptors given up at each sign that there are fewer than was told
 log = logging.getLogger(__name__)
 
@@ -76,7 +76,7 @@
                 log.warning("accept: %s", e)
                 if e.errno in (errno.EMFILE, errno.ENFILE):
                     self._shed()
-                await asyncio.sleep(ACCEPT_PAUSE)
+                await asyncio.sleep(ACCEPT_RETRY_S)
                 continue
             try:
                 client.setblocking(False)
@@ -87,7 +87,7 @@
                 await loop.connect_accepted_socket(lambda c=connection: c, client)  # type: ignore[misc]
             except OSError as e:
                 log.warning("accept: %s", e)
-                await asyncio.sleep(ACCEPT_PAUSE)
+                await asyncio.sleep(ACCEPT_RETRY_S)
             else:
                 await self._make_room(connection)
 
@@ -95,7 +95,7 @@
         """Guards the descriptors: the newest client costs an idle one, or waits until there is one."""
         while len(self.connections) > self._most_open():
             self.changed.clear()
-            if not self._shut_one(newest):
+            if not self._close_one(newest):
                 if self.stopping:
                     break
                 with suppress(TimeoutError):
@@ -106,22 +106,22 @@
     def _most_open(self) -> int:
         return self.budget - self.budget // SPARE
 
-    def _shut_one(self, newest: ClientConnection | None = None) -> bool:
+    def _close_one(self, newest: ClientConnection | None = None) -> bool:
         """End the connection that is longest at rest, or one that half a command has held for long."""
-        idle = next((c for c in self.connections if c is not newest and not c.unsent() and c.idle()), None)
+        idle = next((c for c in self.connections if c is not newest and not c.unsent() and c.is_idle()), None)
         if idle is not None:
             idle.shut()
             return True
         stalled = next((c for c in self.connections if c is not newest and c.stalled()), None)
         if stalled is not None:
-            stalled.end_with(NOT_IN_TIME)
+            stalled.end_with(ERR_COMMAND_TIMEOUT)
         return stalled is not None
 
     def _shed(self) -> None:
         """Fewer descriptors than was told: leave some to the calls to discovery and to servers."""
         self.budget = max(self.least_budget, self.budget - SHED)
         self._cut_lingering()
-        while len(self.connections) > self._most_open() and self._shut_one():
+        while len(self.connections) > self._most_open() and self._close_one():
             pass
 
     def rest(self, connection: ClientConnection) -> None:
@@ -150,7 +150,7 @@
         if connection not in self.unread:
             self.unread.append(connection)
         if self.looking is None:
-            self.looking = asyncio.get_running_loop().call_later(LOOK, self._look)
+            self.looking = asyncio.get_running_loop().call_later(DISCONNECT_POLL_S, self._look)
 
     def _look(self) -> None:
         self.looking = None
@@ -159,7 +159,7 @@
         for connection in all_ended(self.unread):
             connection.leave()
         if self.unread:
-            self.looking = asyncio.get_running_loop().call_later(LOOK, self._look)
+            self.looking = asyncio.get_running_loop().call_later(DISCONNECT_POLL_S, self._look)
 
     def forget(self, connection: ClientConnection) -> None:
         """Note that a connection is closed."""
@@ -182,6 +182,6 @@
                     self.changed.clear()
                     for connection in list(self.connections):
                         # closed between requests: one that has begun to come in is waited for
-                        if connection.idle():
+                        if connection.is_idle():
                             connection.shut()
                     await self.changed.wait()
--- a/brackenwalk/net/origin.py
+++ b/brackenwalk/net/origin.py
@@ -5,9 +5,9 @@
 from urllib.parse import quote_from_bytes
 
 from brackenwalk.interface import Status
-from brackenwalk.net.command import MAX_VALUE, Command
+from brackenwalk.net.command import MAX_VALUE_BYTES, Command
 from brackenwalk.net.http import HttpClient, HttpError
-from brackenwalk.net.pool import Answer, Connection, MalformedAnswer, Pool
+from brackenwalk.net.pool import AttemptResult, Connection, MalformedResponse, Pool
 
 
 class OriginConnection(Connection):
@@ -15,19 +15,19 @@
 
     def __init__(self, pool: Pool, address: str) -> None:
         super().__init__(pool, address)
-        self.client = HttpClient(address, MAX_VALUE)
+        self.client = HttpClient(address, MAX_VALUE_BYTES)
 
     def encode(self, command: Command, time_left: float) -> bytes:
         # guards against a key that spells another path or a query: all but unreserved letters is escaped
         target = "/" + quote_from_bytes(command.key, safe="")
-        headers = [(b"Request-Id", command.request), (b"Request-Info", command.info_for(time_left))]
+        headers = [(b"Request-Id", command.request_id), (b"Request-Info", command.encode_info(time_left))]
         return self.client.request("PUT" if command.write else "GET", target, headers, command.value)
 
-    def decode(self, data: bytes) -> Answer | None:
+    def decode(self, data: bytes) -> AttemptResult | None:
         try:
             response = self.client.receive(data)
         except HttpError as e:
-            raise MalformedAnswer(str(e)) from e
+            raise MalformedResponse(str(e)) from e
         if response is None:
             return None
         if response.status == 200:
@@ -39,7 +39,7 @@
         """A body may end with its connection; one cut short is a reset, told by `connection_lost`."""
         try:
             answer = self.decode(b"")
-        except MalformedAnswer:
+        except MalformedResponse:
             return
         exchange, self.exchange = self.exchange, None
         if answer is not None and exchange is not None:
--- a/brackenwalk/net/pool.py
+++ b/brackenwalk/net/pool.py
@@ -11,20 +11,20 @@
 from brackenwalk.interface import Status
 from brackenwalk.net.command import Command
 
-IDLE_MARGIN = 0.5  # seconds before the peer may close an idle connection at which it is no longer used
+IDLE_MARGIN_S = 0.5  # seconds before the peer may close an idle connection at which it is no longer used
 # seconds for which an answered connection carries nothing: a second answer comes up to 4 ms after the first,
 # measured, and would be taken for that of the next request
-REST = 0.02
+REUSE_DELAY_S = 0.02
 log = logging.getLogger(__name__)
 
-Answer = tuple[Status, bytes]
+AttemptResult = tuple[Status, bytes]
 
 
-class MalformedAnswer(Exception):
+class MalformedResponse(Exception):
     """Bytes that are no answer; what they answer may have run."""
 
 
-def address_of(text: str) -> tuple[str, int]:
+def parse_address(text: str) -> tuple[str, int]:
     """Split `host:port`."""
     host, _, port = text.rpartition(":")
     return host, int(port)
@@ -45,22 +45,22 @@
 
 
 class Exchange:
-    """One attempt: it ends once, by `done` or by being abandoned.
+    """One attempt: it ends once, by `on_done` or by being abandoned.
 
-    `look` abandons it if its client has gone; it is called before the request is written late.
+    `check_client` abandons it if its client has gone; it is called before the request is written late.
     """
 
     def __init__(
         self,
         command: Command,
         time_left: float,
-        done: Callable[[Status, bytes], None],
-        look: Callable[[], object],
+        on_done: Callable[[Status, bytes], None],
+        check_client: Callable[[], object],
     ) -> None:
         self.command = command
         self.until = asyncio.get_running_loop().time() + time_left
-        self.done = done
-        self.look = look
+        self.on_done = on_done
+        self.check_client = check_client
         self.open = True
         self.dial: asyncio.Task[None] | None = None
         self.connection: Connection | None = None
@@ -68,7 +68,7 @@
     def finish(self, status: Status, value: bytes = b"") -> None:
         if self.open:
             self.open = False
-            self.done(status, value)
+            self.on_done(status, value)
 
     def unsent(self) -> bool:
         """Whether the server can't have it whole yet: the dial is on, or bytes are kept back."""
@@ -101,7 +101,7 @@
         """A request's bytes."""
 
     @abstractmethod
-    def decode(self, data: bytes) -> Answer | None:
+    def decode(self, data: bytes) -> AttemptResult | None:
         """Take bytes of the answer; None until it is whole."""
 
     @abstractmethod
@@ -143,7 +143,7 @@
             answer = self.decode(data)
         except Exception as e:
             # guards the router: whatever a server sends costs its connection and no more
-            level = logging.WARNING if isinstance(e, MalformedAnswer) else logging.ERROR
+            level = logging.WARNING if isinstance(e, MalformedResponse) else logging.ERROR
             log.log(level, "answer of %s: %r", self.address, e)
             self.exchange = None
             self.drop()
@@ -178,7 +178,7 @@
         self.make = make
         self.budget = budget  # of descriptors
         self.dial_timeout = dial_timeout
-        self.idle_time = max(0.0, idle - IDLE_MARGIN)
+        self.idle_time = max(0.0, idle - IDLE_MARGIN_S)
         self.connections: set[Connection] = set()
         self.dials: set[asyncio.Task[None]] = set()
         self.idle: dict[str, list[Connection]] = {}
@@ -188,11 +188,11 @@
         address: str,
         command: Command,
         time_left: float,
-        done: Callable[[Status, bytes], None],
-        look: Callable[[], object] = lambda: None,
+        on_done: Callable[[Status, bytes], None],
+        check_client: Callable[[], object] = lambda: None,
     ) -> Exchange:
-        """Start an attempt; where a connection has to come up first, `look` is called when it has."""
-        exchange = Exchange(command, time_left, done, look)
+        """Start an attempt; where a connection has to come up first, `check_client` is called when it has."""
+        exchange = Exchange(command, time_left, on_done, check_client)
         kept = self._take(address)
         if kept is not None:
             kept.begin(exchange)
@@ -209,7 +209,7 @@
         try:
             async with asyncio.timeout(self.dial_timeout):
                 _, connection = await asyncio.get_running_loop().create_connection(
-                    lambda: self.make(self, address), *address_of(address)
+                    lambda: self.make(self, address), *parse_address(address)
                 )
         except Exception as e:
             if not isinstance(e, OSError):  # a time-out is one
@@ -218,7 +218,7 @@
             exchange.finish(Status.CONNECT_FAILED)
             return
         exchange.dial = None
-        exchange.look()  # guards against work for nobody: the client may have left while this came up
+        exchange.check_client()  # guards against work for nobody: the client may have left while this came up
         if exchange.open:
             connection.begin(exchange)
         else:
@@ -227,7 +227,7 @@
     def _take(self, address: str) -> Connection | None:
         """The kept connection used last, of those that have rested and still stand."""
         idle = self.idle.get(address, [])
-        rested = asyncio.get_running_loop().time() - REST
+        rested = asyncio.get_running_loop().time() - REUSE_DELAY_S
         for connection in [c for c in reversed(idle) if c.kept_at <= rested]:
             idle.remove(connection)
             if connection.expiry is not None:
--- a/brackenwalk/net/resp.py
+++ b/brackenwalk/net/resp.py
@@ -7,27 +7,28 @@
 
 import hiredis
 
-MOST = 16  # parts of an array: a command has five at most, an answer three
-LONGEST_LINE = 4096  # bytes; only error lines come near
+MAX_PARTS = 16  # parts of an array: a command has five at most, an answer three
+MAX_LINE_BYTES = 4096  # bytes; only error lines come near
 LINE_END = b"\r\n"
 BREAK = re.compile(rb"[\r\n]")
 LENGTH = re.compile(rb"-1|0|[1-9][0-9]{0,17}")  # digits alone; the only sign is that of null
 INTEGER = re.compile(rb"-?[0-9]{1,18}")
-NOT_YET = object()
+INCOMPLETE = object()
 
 
 class Reader:
     """One message after another, none of them larger than its bytes.
 
-    `tops` are the types that a message may begin with, `parts` those of an array's elements, by their first
-    byte (RESP2). The parser sets an array's room aside on the word of its header, which can take seconds to
-    free, and passes over the two bytes after a bulk string unread: both are checked before it sees them.
+    `top_types` are the types that a message may begin with, `element_types` those of an array's elements, by
+    their first byte (RESP2). The parser sets an array's room aside on the word of its header, which can take
+    seconds to free, and passes over the two bytes after a bulk string unread: both are checked before it sees
+    them.
     """
 
-    def __init__(self, tops: bytes = b"+-:$*", parts: bytes = b"+-:$") -> None:
-        self.parser = hiredis.Reader(notEnoughData=NOT_YET)
-        self.tops = tops
-        self.kinds = parts
+    def __init__(self, top_types: bytes = b"+-:$*", element_types: bytes = b"+-:$") -> None:
+        self.parser = hiredis.Reader(notEnoughData=INCOMPLETE)
+        self.top_types = top_types
+        self.element_types = element_types
         self.line = b""  # one that has not come whole
         self.payload = 0  # bytes still to come of a bulk string
         self.line_end = b""  # what is still to come of the line end behind it
@@ -44,8 +45,8 @@
             if self.payload or self.line_end:
                 at += self._bulk(data, at)
                 continue
-            end = BREAK.search(data, at, at + LONGEST_LINE + 1)
-            if end is None and len(data) - at > LONGEST_LINE:
+            end = BREAK.search(data, at, at + MAX_LINE_BYTES + 1)
+            if end is None and len(data) - at > MAX_LINE_BYTES:
                 self.fault = "line is too long"
             elif end is None or (end.end() == len(data) and data[end.start()] == LINE_END[0]):
                 self.line = data[at:]
@@ -76,7 +77,7 @@
     def _head(self, line: bytes) -> str:
         """Note what a line announces; answers with what is wrong with it."""
         kind, told = line[:1], line[1:]
-        if not kind or kind not in (self.kinds if self.parts else self.tops):
+        if not kind or kind not in (self.element_types if self.parts else self.top_types):
             return "no message begins like this" if not self.parts else "no part of an array begins like this"
         if kind in b"$*" and not LENGTH.fullmatch(told):
             return "a length is digits alone"
@@ -84,16 +85,16 @@
             return "not a number"
         if kind == b"*":
             self.parts = max(0, int(told))
-            return "too many parts" if self.parts > MOST else ""
+            return "too many parts" if self.parts > MAX_PARTS else ""
         self.parts = max(0, self.parts - 1)
         if kind == b"$" and told != b"-1":
             self.payload, self.line_end = int(told), LINE_END
         return ""
 
     def gets(self) -> Any:
-        """The next message, or NOT_YET."""
+        """The next message, or INCOMPLETE."""
         message = self.parser.gets()
-        if message is NOT_YET and self.fault:
+        if message is INCOMPLETE and self.fault:
             raise hiredis.ProtocolError(self.fault)
         return message
 
@@ -101,6 +102,6 @@
         """Bytes taken that no message has come of yet."""
         return self.parser.len() if self.parser.has_data() else 0
 
-    def clear(self) -> bool:
+    def at_boundary(self) -> bool:
         """Whether the next byte begins a message."""
         return not self.fault and not self.parser.has_data()
--- a/fleetlab/capacity.py
+++ b/fleetlab/capacity.py
@@ -16,10 +16,10 @@
 
 import msgspec
 
-from brackenwalk.__main__ import RESERVE
+from brackenwalk.__main__ import RESERVED_DESCRIPTORS
 from brackenwalk.demand import CHECK, HEAD, LINE, LINES, MEMORY, NAME
-from brackenwalk.net.discovery import ANSWER_MARGIN, EMPTY_PAUSE, WATCH_WAIT
-from brackenwalk.net.peers import HELD
+from brackenwalk.net.discovery import EMPTY_RESPONSE_PAUSE_S, RESPONSE_MARGIN_S, WATCH_WAIT_S
+from brackenwalk.net.peers import PEER_BUFFER_BYTES
 from brackenwalk.policy import FAULTY, POINTS, SILENCE
 from brackenwalk.telling import DATAGRAM, HEARD, TELL, TELLERS
 from fleetlab.experiment import Experiment, Fleet
@@ -335,8 +335,8 @@
     """The rows of each role's table."""
     limits, deploy = given.limits, given.deploy
     aim = float(deploy["shortest_aim"])
-    room = int(deploy["sockets"]) - RESERVE
-    watch = f"watch of {number(WATCH_WAIT)} s by each router at discovery"
+    room = int(deploy["sockets"]) - RESERVED_DESCRIPTORS
+    watch = f"watch of {number(WATCH_WAIT_S)} s by each router at discovery"
     tellers = f"hot keys told by {TELLERS} tellers, within {number(HEARD)} bytes a second"
     ailing = "ailing servers, told by routers to which it is news"
     deltas = "list deltas; `Ring.settle` takes in what moved"
@@ -503,8 +503,10 @@
         Row(
             "memory",
             "receive buffer for peers, bytes",
-            "`Peers.connection_made`",
-            formula(f"{HELD} bytes × (routers − 1)", lambda s: HELD * (s.routers - 1)),
+            "`PeerSocket.connection_made`",
+            formula(
+                f"{PEER_BUFFER_BYTES} bytes × (routers − 1)", lambda s: PEER_BUFFER_BYTES * (s.routers - 1)
+            ),
         ),
         Row(
             "descriptors",
@@ -520,7 +522,7 @@
             "to servers, one each",
             "`Pool` in `__main__.serve`; past its limit an idle connection makes way",
             formula(
-                f"servers; limit ({deploy['sockets']} − {RESERVE}) × 3 // 8 = {room * 3 // 8}",
+                f"servers; limit ({deploy['sockets']} − {RESERVED_DESCRIPTORS}) × 3 // 8 = {room * 3 // 8}",
                 lambda s: s.servers,
             ),
             float(room * 3 // 8),
@@ -602,8 +604,8 @@
             "calls with no news, a second",
             watch,
             formula(
-                f"routers / ({number(WATCH_WAIT)} + {EMPTY_PAUSE:g} s)",
-                lambda s: s.routers / (WATCH_WAIT + EMPTY_PAUSE),
+                f"routers / ({number(WATCH_WAIT_S)} + {EMPTY_RESPONSE_PAUSE_S:g} s)",
+                lambda s: s.routers / (WATCH_WAIT_S + EMPTY_RESPONSE_PAUSE_S),
             ),
         ),
         Row(
@@ -712,7 +714,7 @@
             "at most",
             "`Pool` in `__main__.serve`",
             formula(
-                f"routers × ({deploy['sockets']} − {RESERVE}) // 8 = routers × {room // 8}",
+                f"routers × ({deploy['sockets']} − {RESERVED_DESCRIPTORS}) // 8 = routers × {room // 8}",
                 lambda s: s.routers * (room // 8),
             ),
         ),
@@ -969,8 +971,8 @@
             "regions": places["regions"],
             "machines": limits["control_machines"],
             "call_ms": 1000 * call_s,
-            "watch": WATCH_WAIT,
-            "margin": ANSWER_MARGIN,
+            "watch": WATCH_WAIT_S,
+            "margin": RESPONSE_MARGIN_S,
             "faulty": FAULTY,
             "tellers": TELLERS,
             "headers": DATAGRAM,
--- a/fleetlab/hollow.py
+++ b/fleetlab/hollow.py
@@ -27,12 +27,12 @@
 from brackenwalk import interface as api
 from brackenwalk.net import discovery as real_discovery
 from brackenwalk.net.command import Command
-from brackenwalk.net.discovery import Discovery, read_list
+from brackenwalk.net.discovery import DiscoveryClient, read_list
 from brackenwalk.net.host import Host, Member
 from brackenwalk.net.http import HttpClient, Response
 from brackenwalk.net.origin import OriginConnection
-from brackenwalk.net.peers import Peers
-from brackenwalk.net.pool import Exchange, Pool, address_of
+from brackenwalk.net.peers import PeerSocket
+from brackenwalk.net.pool import Exchange, Pool, parse_address
 from brackenwalk.policy import Router
 from brackenwalk.settings import read_settings
 from fleetlab.model import kind_of, shared_rings, zipf
@@ -187,10 +187,10 @@
         address: str,
         command: Command,
         time_left: float,
-        done: Callable[[api.Status, bytes], None],
-        look: Callable[[], object] = lambda: None,
+        on_done: Callable[[api.Status, bytes], None],
+        check_client: Callable[[], object] = lambda: None,
     ) -> Exchange:
-        exchange = Modelled(command, time_left, done, look)
+        exchange = Modelled(command, time_left, on_done, check_client)
         state = self.instance.state(address)
         if state == "up":
             self.silent.discard(address)
@@ -248,7 +248,7 @@
         self.shares = list(accumulate(zipf(experiment.requests.keys, experiment.requests.zipf)))
         addresses = plan.addresses
         self.numbers: dict[str, int] = {}  # of servers, by address; those that come later are added
-        self.peers = {address_of(addresses.peer_seen(n)) for n in range(plan.routers())}
+        self.peers = {parse_address(addresses.peer_seen(n)) for n in range(plan.routers())}
         config = config_of(plan, 0)
         self.index, _, self.known = read_list(config["known"])
         config["settings"]["me"] = 0
@@ -282,8 +282,8 @@
         self.meter = Meter()
         self.asked = self.made = 0  # requests, and those of the schedule
         self.host: HollowHost | None = None
-        self.discovery: Discovery | None = None
-        self.peers: Peers | None = None
+        self.discovery: DiscoveryClient | None = None
+        self.peers: PeerSocket | None = None
         self.next: asyncio.TimerHandle | None = None
         self.address = fleet.plan.addresses.discovery(number)
         CountedClient.meters[self.address] = self.meter
@@ -297,13 +297,13 @@
         host = self.host = HollowHost(settings, seed, pool, self._subscribe)
         host.router = Metered(settings, seed, host.clock.now(), self.meter)
         told, failed = self._told, self._failed
-        self.discovery = Discovery(self.address, fleet.index, told, failed)
-        host.list_told(api.ListKind.SAVED, fleet.known)
+        self.discovery = DiscoveryClient(self.address, fleet.index, told, failed)
+        host.on_server_list(api.ListKind.SAVED, fleet.known)
         if not settings.subscribe:
             self.discovery.subscribe()  # what is pushed comes by the same calls
-        peers = Peers(addresses.peer_listen(self.number), [], addresses.everyone(), self._peer_heard)
+        peers = PeerSocket(addresses.peer_listen(self.number), [], addresses.everyone(), self._peer_heard)
         peers.peers = fleet.peers  # one set for all: thousands of sets of thousands fill the memory
-        self.peers, host.tell = peers, self._tell
+        self.peers, host.broadcast = peers, self._tell
         await peers.start()
 
     def stop(self) -> None:
@@ -311,8 +311,8 @@
         if self.next is not None:
             self.next.cancel()
         if self.discovery is not None:
-            self.discovery.told = lambda kind, members: None
-            self.discovery.failed = lambda: None
+            self.discovery.on_list = lambda kind, members: None
+            self.discovery.on_failure = lambda: None
             self.discovery.close()
         if self.peers is not None:
             self.peers.close()
@@ -359,7 +359,7 @@
             deadline,
             VALUE if write else None,
         )
-        self.host.take(command, self._answered)
+        self.host.submit(command, self._answered)
 
     def _answered(self, answer: bytes) -> None:
         self.meter.counts["served" if answer.startswith(b"$") else "unserved"] += 1
@@ -377,25 +377,25 @@
             self.meter.spent["call"] += time.thread_time_ns() - began
             self.meter.events["call"] += bool(members)
         if self.host is not None:
-            self.host.list_told(kind, members)
+            self.host.on_server_list(kind, members)
 
     def _failed(self) -> None:
         self.meter.counts["calls.failed"] += 1
         if self.host is not None:
-            self.host.list_failed()
+            self.host.on_list_failed()
 
     def _peer_heard(self, content: bytes) -> None:
         second = int(self.fleet.at()) if self.fleet.at() >= 0 else -1
         self.meter.heard[second] += 1
         self.meter.heard_bytes[second] += len(content)
         if self.host is not None:
-            self.host.peer_heard(content)
+            self.host.on_peer_message(content)
 
     def _tell(self, content: bytes) -> None:
         self.meter.counts["told"] += 1
         self.meter.counts["bytes.out.peers"] += len(content)
         if self.peers is not None:
-            self.peers.tell(content)
+            self.peers.broadcast(content)
 
 
 def spread(values: list[float], unit: str) -> Metric:
--- a/fleetlab/module_costs.py
+++ b/fleetlab/module_costs.py
@@ -17,7 +17,7 @@
 from typing import Any
 
 from brackenwalk import interface as api
-from brackenwalk.net.discovery import WATCH_WAIT, read_list
+from brackenwalk.net.discovery import WATCH_WAIT_S, read_list
 from brackenwalk.policy import Router
 from brackenwalk.settings import read_settings
 from fleetlab.experiment import Experiment
@@ -238,7 +238,7 @@
     metrics = {f"cpu.us.{kind}": metric(samples, "us", 1e6) for kind, samples in sorted(spent.items())}
     rates = {kind: len(loaded.get(kind, ())) / TIMED for kind in ("request", "outcome", "timer", "tell")}
     # a watch with no news is answered when its wait is over
-    rates |= {"peer": heard, "change": changes_per_second(experiment), "call": 1 / WATCH_WAIT}
+    rates |= {"peer": heard, "change": changes_per_second(experiment), "call": 1 / WATCH_WAIT_S}
     worst = max(m for m, _ in storm)
     metrics |= {f"rate.{kind}": Metric(rate, "1/s") for kind, rate in rates.items()}
     metrics["rate.told"] = Metric(own / TIMED, "1/s")
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -165,7 +165,7 @@
     def list(self, *names: str) -> None:
         members = [member(n, self.caches[n].address) for n in names]
         origin = member("o", self.origin.address, "origin")
-        self.host.list_told(api.ListKind.FULL, [*members, origin])
+        self.host.on_server_list(api.ListKind.FULL, [*members, origin])
 
     async def __aexit__(
         self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
--- a/tests/test_grammar_http.py
+++ b/tests/test_grammar_http.py
@@ -17,14 +17,14 @@
 from hypothesis import strategies as st
 
 from brackenwalk import interface as api
-from brackenwalk.net.discovery import Discovery
-from brackenwalk.net.http import MAX_FRAMING, MAX_INFORMATIONAL, HttpClient, HttpError, Response
+from brackenwalk.net.discovery import DiscoveryClient
+from brackenwalk.net.http import MAX_FRAMING_BYTES, MAX_INFORMATIONAL, HttpClient, HttpError, Response
 from tests.loopback import run, spelled
 
 OK = b"HTTP/1.1 200 OK\r\n"
 CHUNKED = OK + b"Transfer-Encoding: chunked\r\n\r\n"
 MOST = 64 * 1024  # bytes of a body
-ROOM = MAX_FRAMING - len(OK + b"X: \r\n\r\n")
+ROOM = MAX_FRAMING_BYTES - len(OK + b"X: \r\n\r\n")
 PIECES = pytest.mark.parametrize("piece", [1, 7, 99999])
 
 
@@ -88,7 +88,7 @@
     response = read(asked(), head + b"value", piece)
     assert response is not None and response.body == b"value"
     refused(head.replace(b"x", b"xx", 1), piece)
-    refused(CHUNKED + b"0\r\nX: " + b"x" * MAX_FRAMING + b"\r\n\r\n", piece)
+    refused(CHUNKED + b"0\r\nX: " + b"x" * MAX_FRAMING_BYTES + b"\r\n\r\n", piece)
 
 
 @PIECES
@@ -321,7 +321,7 @@
             began = self.at
             minor, status = self.status_line()
             fields = self.fields()
-            need(self.at - began <= MAX_FRAMING)
+            need(self.at - began <= MAX_FRAMING_BYTES)
             lengths = [v for n, v in fields if n == b"content-length"]
             codings = [v for n, v in fields if n == b"transfer-encoding"]
             need(len(lengths) + len(codings) <= 1)
@@ -381,7 +381,7 @@
             body += self.take(size)
             need(self.take(2) == b"\r\n")
         trailers = self.fields()
-        need(self.at - began <= MAX_FRAMING)
+        need(self.at - began <= MAX_FRAMING_BYTES)
         need(not any(n in (b"content-length", b"transfer-encoding") for n, _ in trailers))
         return body
 
@@ -590,7 +590,7 @@
         with socket.create_server(("127.0.0.1", 0)) as server:
             server.setblocking(False)
             address = spelled(server.getsockname())
-            watch = Discovery(
+            watch = DiscoveryClient(
                 address, 0, lambda kind, _: news.put_nowait(kind), lambda: news.put_nowait(None)
             )
             watch.subscribe()
--- a/tests/test_grammar_resp.py
+++ b/tests/test_grammar_resp.py
@@ -15,8 +15,8 @@
 from hypothesis import strategies as st
 
 from brackenwalk.interface import Status
-from brackenwalk.net.pool import Answer, MalformedAnswer, Pool
-from brackenwalk.net.resp import NOT_YET, Reader
+from brackenwalk.net.pool import AttemptResult, MalformedResponse, Pool
+from brackenwalk.net.resp import INCOMPLETE, Reader
 from brackenwalk.net.servers import CacheConnection
 from tests.loopback import Peer, Router, command, run
 from tests.test_net_host import error
@@ -54,7 +54,7 @@
     return parts, text
 
 
-def answer_of(text: bytes) -> Answer | None:
+def answer_of(text: bytes) -> AttemptResult | None:
     """What a whole answer at the beginning of a text means by PROTOCOL; None where there is none."""
     if text.startswith(b"*3\r\n"):
         read = bulks(text[4:], 3)
@@ -74,13 +74,13 @@
     return [text[a:b] for a, b in zip([0, *ends], [*ends, len(text)], strict=True)]
 
 
-def decoded(parts: list[bytes]) -> Answer | str:
+def decoded(parts: list[bytes]) -> AttemptResult | str:
     """What a connection to a cache server makes of an answer that comes in these pieces."""
     connection = CacheConnection(Pool(CacheConnection, 1, 1.0, 60.0), "127.0.0.1:1")
     for part in parts:
         try:
             answer = connection.decode(part)
-        except MalformedAnswer:
+        except MalformedResponse:
             return "malformed"
         if answer is not None:
             return answer
@@ -191,7 +191,7 @@
 
 def taken(parts: list[bytes]) -> list[Any]:
     """The messages that a client's connection reads, and the fault that ends them, if there is one."""
-    reader = Reader(parts=b":-$")
+    reader = Reader(element_types=b":-$")
     got: list[Any] = []
     for part in parts:
         reader.feed(part)
@@ -200,7 +200,7 @@
                 message = reader.gets()
             except hiredis.ProtocolError:
                 return [*got, "fault"]
-            if message is NOT_YET:
+            if message is INCOMPLETE:
                 break
             got.append(message)
     return got
--- a/tests/test_lab_hollow.py
+++ b/tests/test_lab_hollow.py
@@ -14,7 +14,7 @@
 import pytest
 
 from brackenwalk import interface as api
-from brackenwalk.net.pool import address_of
+from brackenwalk.net.pool import parse_address
 from brackenwalk.policy import Router
 from fleetlab import experiment as lab
 from fleetlab import hollow, module_costs
@@ -180,7 +180,7 @@
         def serve(number: int) -> Callable[[asyncio.StreamReader, asyncio.StreamWriter], object]:
             return lambda reader, writer: self.answer(number, reader, writer)
 
-        places = [address_of(self.plan.addresses.discovery(n)) for n in self.plan.hollow]
+        places = [parse_address(self.plan.addresses.discovery(n)) for n in self.plan.hollow]
         pairs = zip(self.plan.hollow, places, strict=True)
         return [await asyncio.start_server(serve(n), *place) for n, place in pairs]  # type: ignore[arg-type]
 
@@ -201,10 +201,10 @@
     def __init__(self, plan: Plan) -> None:
         addresses = plan.addresses
         self.told: list[bytes] = []
-        self.targets = {address_of(addresses.peer_listen(n)): n for n in plan.hollow}
+        self.targets = {parse_address(addresses.peer_listen(n)): n for n in plan.hollow}
         self.places = {n: socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for n in plan.hollow}
         for number, place in self.places.items():
-            place.bind(address_of(addresses.peer_seen(number)))
+            place.bind(parse_address(addresses.peer_seen(number)))
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
         self.told.append(data)
@@ -242,7 +242,7 @@
         began: asyncio.Future[float] = loop.create_future()
         ended = asyncio.Event()
         transport, _ = await loop.create_datagram_endpoint(
-            lambda: between, local_addr=address_of(plan.addresses.everyone())
+            lambda: between, local_addr=parse_address(plan.addresses.everyone())
         )
         part = asyncio.create_task(
             hollow.run(plan, lambda: began.set_result(time.time()), began, ended, schedule)
--- a/tests/test_lab_standins.py
+++ b/tests/test_lab_standins.py
@@ -23,10 +23,10 @@
 from brackenwalk import interface as api
 from brackenwalk.interface import Status
 from brackenwalk.net.command import read_command
-from brackenwalk.net.discovery import Discovery, read_list
+from brackenwalk.net.discovery import DiscoveryClient, read_list
 from brackenwalk.net.host import Member
 from brackenwalk.net.origin import OriginConnection
-from brackenwalk.net.peers import Peers
+from brackenwalk.net.peers import PeerSocket
 from brackenwalk.net.pool import Connection, Pool
 from brackenwalk.net.servers import CacheConnection
 from fleetlab import experiment as ex
@@ -208,7 +208,7 @@
 
     def __init__(self, plan: Plan, router: int) -> None:
         self.news: asyncio.Queue[tuple[api.ListKind, list[Member]] | None] = asyncio.Queue()
-        self.watch = Discovery(
+        self.watch = DiscoveryClient(
             plan.addresses.discovery(router),
             1,
             lambda kind, members: self.news.put_nowait((kind, members)),
@@ -407,12 +407,14 @@
             stage.begin()
             await asyncio.sleep(0.05)
             peers = [
-                Peers(at.peer_listen(n), places, at.everyone(), lambda data, n=n: heard.put_nowait((n, data)))  # type: ignore[misc]
+                PeerSocket(
+                    at.peer_listen(n), places, at.everyone(), lambda data, n=n: heard.put_nowait((n, data))
+                )  # type: ignore[misc]
                 for n in range(4)
             ]
             for peer in peers:
                 await peer.start()
-            peers[0].tell(b"one")
+            peers[0].broadcast(b"one")
             assert sorted([await heard.get(), await heard.get()]) == [(1, b"one"), (2, b"one")]
             assert peers[1].transport is not None
             # to one alone; one that is too long is dropped, and a router that is deaf hears none
@@ -442,7 +444,7 @@
             with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sender:
                 sender.bind(host_port(at.peer_listen(0)))
                 heard: asyncio.Queue[bytes] = asyncio.Queue()
-                peer = Peers(
+                peer = PeerSocket(
                     at.peer_listen(2), [at.peer_seen(n) for n in range(3)], at.everyone(), heard.put_nowait
                 )
                 await peer.start()
--- a/tests/test_main.py
+++ b/tests/test_main.py
@@ -15,7 +15,7 @@
 import pytest
 
 from brackenwalk import __main__ as program
-from brackenwalk.net.pool import address_of
+from brackenwalk.net.pool import parse_address
 from tests.loopback import HIT, PATIENCE, Link, Peer, command, http, read, run, spelled
 from tests.test_net_discovery import LINE, message
 from tests.test_wirehost import CONF
@@ -122,7 +122,9 @@
 
 async def listening(log: asyncio.StreamReader | None) -> tuple[str, int]:
     """Where the program says that it listens."""
-    return address_of((await said(log, rb"listening on [0-9.]+:\d+")).decode().removeprefix("listening on "))
+    return parse_address(
+        (await said(log, rb"listening on [0-9.]+:\d+")).decode().removeprefix("listening on ")
+    )
 
 
 async def launched(path: Path, config: dict[str, Any]) -> asyncio.subprocess.Process:
--- a/tests/test_net_discovery.py
+++ b/tests/test_net_discovery.py
@@ -10,7 +10,7 @@
 
 from brackenwalk import interface as api
 from brackenwalk.net import discovery as discoveries
-from brackenwalk.net.discovery import Discovery, ListError, read_list
+from brackenwalk.net.discovery import DiscoveryClient, ListError, read_list
 from brackenwalk.net.host import Member
 from tests.loopback import Link, Peer, http, run
 
@@ -35,7 +35,7 @@
 
     def __init__(self, peer: Peer) -> None:
         self.news: asyncio.Queue[tuple[api.ListKind, list[Member]] | None] = asyncio.Queue()
-        self.watch = Discovery(
+        self.watch = DiscoveryClient(
             peer.address,
             41,
             lambda kind, members: self.news.put_nowait((kind, members)),
@@ -151,8 +151,8 @@
     """What it has to tell counts as told: a router that waits on sends to servers it should have left."""
 
     async def scenario() -> None:
-        monkeypatch.setattr(discoveries, "WATCH_WAIT", 0.05)
-        monkeypatch.setattr(discoveries, "ANSWER_MARGIN", 0.05)
+        monkeypatch.setattr(discoveries, "WATCH_WAIT_S", 0.05)
+        monkeypatch.setattr(discoveries, "RESPONSE_MARGIN_S", 0.05)
         async with Peer() as peer:
             told = Told(peer)
             _, link = await call(peer)
@@ -172,10 +172,10 @@
             def faulty(kind: api.ListKind, members: list[Member]) -> None:
                 raise RuntimeError("a fault")
 
-            told.watch.told = faulty
+            told.watch.on_list = faulty
             _, link = await call(peer)
             link.write(http("200 OK", message(42, False, LINE)))
-            assert await told.news.get() is None and told.watch.watch is None
+            assert await told.news.get() is None and told.watch.watch_task is None
 
     run(scenario)
 
@@ -191,9 +191,11 @@
             if failed:
                 link.write(http("503 Busy"))
                 assert await told.news.get() is None
-            assert not told.watch.move(old.address)  # no news: nothing changes
-            before = told.watch.watch
-            assert told.watch.move(new.address) and told.watch.watch is before  # until the module asks
+            assert not told.watch.set_address(old.address)  # no news: nothing changes
+            before = told.watch.watch_task
+            assert (
+                told.watch.set_address(new.address) and told.watch.watch_task is before
+            )  # until the module asks
             told.watch.subscribe()
             assert failed or await link.ended()
             first, link = await call(new)
--- a/tests/test_net_host.py
+++ b/tests/test_net_host.py
@@ -13,7 +13,7 @@
 from brackenwalk import interface as api
 from brackenwalk.net import clients
 from brackenwalk.net import host as hosts
-from brackenwalk.net.clients import MAX_COMMAND, MAX_PIPELINED
+from brackenwalk.net.clients import MAX_COMMAND_BYTES, MAX_PIPELINED
 from tests.loopback import (
     HIT,
     MISS,
@@ -138,7 +138,7 @@
             sent = loop.time()
             client, cache = await router.begun(info="c=read,t=x,d=150")
             assert error(await client.resp()).startswith("BUSY")
-            assert loop.time() - sent >= 0.15 - hosts.DEADLINE_MARGIN - 0.001
+            assert loop.time() - sent >= 0.15 - hosts.DEADLINE_MARGIN_S - 0.001
             assert await cache.ended() and not router.host.requests
 
     run(scenario)
@@ -230,7 +230,7 @@
     async def scenario() -> None:
         async with Router() as router:
             client = await router.client()
-            client.write(b"*4\r\n$900000000\r\n" + b"x" * MAX_COMMAND)
+            client.write(b"*4\r\n$900000000\r\n" + b"x" * MAX_COMMAND_BYTES)
             assert "too long" in error(await client.resp())
 
     run(scenario)
@@ -241,7 +241,7 @@
     sent: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Such peers stayed for good, and each held a descriptor that a client could have had."""
-    monkeypatch.setattr(clients, "PATIENCE", 0.2)
+    monkeypatch.setattr(clients, "FIRST_COMMAND_TIMEOUT_S", 0.2)
 
     async def scenario() -> None:
         async with Router() as router:
@@ -298,7 +298,7 @@
                 await asyncio.sleep(0)
             (connection,) = router.listener.connections
             connection.transport.abort()
-            router.host._close("r0", b"-ERR failed\r\n")
+            router.host._respond("r0", b"-ERR failed\r\n")
             while router.listener.connections:
                 await asyncio.sleep(0)
             await asyncio.sleep(0)
@@ -342,7 +342,7 @@
             other = await router.client()
             first, cache = await router.begun()
             with monkeypatch.context() as patch:
-                patch.setattr(router.host, "take", None)
+                patch.setattr(router.host, "submit", None)
                 first.write(read("r2"))
                 assert await first.ended()
             assert await cache.ended() and not router.host.router.held
@@ -483,14 +483,14 @@
         async with Router() as router:
             client, cache = await router.begun()
             client.write(b"PING\r\n" + b"x" * 100_000)
-            while not (connection := next(iter(router.listener.connections))).ending:
+            while not (connection := next(iter(router.listener.connections))).closing:
                 await asyncio.sleep(0)
-            client.write(b"x" * 3 * MAX_COMMAND)
+            client.write(b"x" * 3 * MAX_COMMAND_BYTES)
             await client.writer.drain()
             client.close()
             await left(router)
             assert await cache.ended()
-            assert connection.incomplete + len(connection.unparsed) <= 100_000 + 65_536
+            assert connection.incomplete_bytes + len(connection.unparsed) <= 100_000 + 65_536
 
     run(scenario)
 
@@ -613,7 +613,7 @@
                 "has moved": replace(known, address=other),
                 "started again": replace(known, entry=replace(known.entry, since=1.0)),
             }[news]
-            router.host.list_told(api.ListKind.DELTA, [changed, member("b", other)])
+            router.host.on_server_list(api.ListKind.DELTA, [changed, member("b", other)])
             second = await router.caches["b"].link() if news != "started again" else await router.cache()
             assert (await second.resp())[2] == b"r1"
             gate.set()
@@ -654,7 +654,7 @@
             writer = await router.client()
             writer.write(book("w1").replace(b"d=2000", b"d=9000"))
             await (await router.origin.link()).http()
-            router.host.ending(0.1)
+            router.host.begin_shutdown(0.1)
             assert error(await client.resp()).startswith("BUSY")
             assert error(await writer.resp()).startswith("BUSY")
             assert await cache.ended()
--- a/tests/test_net_peers.py
+++ b/tests/test_net_peers.py
@@ -7,7 +7,7 @@
 
 from brackenwalk import interface as api
 from brackenwalk.demand import Demand
-from brackenwalk.net.peers import Peers
+from brackenwalk.net.peers import PeerSocket
 from tests.loopback import SETTINGS, Router, run, spelled
 
 
@@ -23,16 +23,16 @@
         heard: asyncio.Queue[bytes] = asyncio.Queue()
         with endpoint() as peer, endpoint() as stranger:
             everyone = spelled(peer.getsockname())
-            peers = Peers("127.0.0.1:0", [everyone], everyone, heard.put_nowait)
+            peers = PeerSocket("127.0.0.1:0", [everyone], everyone, heard.put_nowait)
             await peers.start()
             assert peers.transport is not None
             address = peers.transport.get_extra_info("sockname")
             loop = asyncio.get_running_loop()
-            peers.tell(b"told")
+            peers.broadcast(b"told")
             assert await loop.sock_recv(peer, 512) == b"told"
-            peers.tell(b"")  # neither of these may go out
-            peers.tell(b"x" * 257)
-            peers.tell(b"next")
+            peers.broadcast(b"")  # neither of these may go out
+            peers.broadcast(b"x" * 257)
+            peers.broadcast(b"next")
             assert await loop.sock_recv(peer, 512) == b"next"
             stranger.sendto(b"not of the tier", address)
             peer.sendto(b"x" * 300, address)
@@ -47,10 +47,10 @@
     async def scenario() -> None:
         with endpoint() as taken:
             address = spelled(taken.getsockname())
-            peers = Peers(address, [], address, lambda content: None)
+            peers = PeerSocket(address, [], address, lambda content: None)
             await peers.start()
             assert peers.transport is None
-            peers.tell(b"nobody hears this")
+            peers.broadcast(b"nobody hears this")
             peers.error_received(ConnectionRefusedError())
             peers.close()
 
@@ -62,12 +62,12 @@
         async with Router() as router:
             told = Demand()
             told.add(5)
-            router.host.peer_heard(told.message([], now=router.host.clock.now()))
-            router.host.peer_heard(b"garbled")
+            router.host.on_peer_message(told.message([], now=router.host.clock.now()))
+            router.host.on_peer_message(b"garbled")
             assert router.host.router.demand.long.times == {5: 1}
             sent: list[bytes] = []
-            router.host.tell = sent.append
-            router.host._carry_out(api.Tell(b"content"))
+            router.host.broadcast = sent.append
+            router.host._execute(api.Tell(b"content"))
             assert sent == [b"content"]
             assert not SETTINGS.peers  # and by itself it tells nothing here
 
--- a/tests/test_net_pool.py
+++ b/tests/test_net_pool.py
@@ -69,7 +69,7 @@
             assert info.startswith(b"c=read,d=") and 0 < int(info[9:]) < 500  # what the dial took is gone
             link.write(answer)
             assert await ends.end() == (status, value)
-            await asyncio.sleep(2 * pools.REST)
+            await asyncio.sleep(2 * pools.REUSE_DELAY_S)
             ends.start(peer.address)  # and the connection is kept
             await link.resp()
             ends.pool.close()
@@ -247,7 +247,7 @@
 
 def test_a_kept_connection_that_was_closed_is_not_used(monkeypatch: pytest.MonkeyPatch) -> None:
     """A request written to it would end as a reset, and an unsafe one would be failed for nothing."""
-    monkeypatch.setattr(pools, "REST", 0.0)
+    monkeypatch.setattr(pools, "REUSE_DELAY_S", 0.0)
 
     async def scenario() -> None:
         loop = asyncio.get_running_loop()
@@ -276,7 +276,7 @@
 
     async def scenario() -> None:
         async with Peer() as peer:
-            ends = caches(idle=pools.IDLE_MARGIN + 0.01)
+            ends = caches(idle=pools.IDLE_MARGIN_S + 0.01)
             link = await ends.begun(peer)
             link.write(HIT)
             assert await ends.end() == (Status.OK, b"value")
@@ -372,7 +372,7 @@
             assert info.startswith("c=read,d=") and 0 < int(info[9:]) < 500  # what the dial took is gone
             link.write(answer)
             assert await ends.end() == (status, value)
-            await asyncio.sleep(2 * pools.REST)
+            await asyncio.sleep(2 * pools.REUSE_DELAY_S)
             ends.start(peer.address)  # and the connection is kept
             await link.http()
             ends.pool.close()
--- a/tests/test_net_resp.py
+++ b/tests/test_net_resp.py
@@ -5,7 +5,7 @@
 import hiredis
 import pytest
 
-from brackenwalk.net.resp import LONGEST_LINE, MOST, NOT_YET, Reader
+from brackenwalk.net.resp import INCOMPLETE, MAX_LINE_BYTES, MAX_PARTS, Reader
 
 WHOLE = [
     (b"*2\r\n$3\r\nGET\r\n$9\r\n*9\r\n$9\r\n\r\r\n", [b"GET", b"*9\r\n$9\r\n\r"]),
@@ -22,12 +22,14 @@
     text, reader, got = b"".join(t for t, _ in WHOLE), Reader(), []
     for at in range(0, len(text), piece):
         reader.feed(text[at : at + piece])
-        while (message := reader.gets()) is not NOT_YET:
+        while (message := reader.gets()) is not INCOMPLETE:
             got.append(message.decode() if message == b"OK" else message)
-    assert got == [m for _, m in WHOLE] and reader.clear()
+    assert got == [m for _, m in WHOLE] and reader.at_boundary()
 
 
-@pytest.mark.parametrize("header", [b"*%d\r\n" % (MOST + 1), b"*2\r\n*2\r\n", b"%5\r\n", b"+" + b"x" * 9999])
+@pytest.mark.parametrize(
+    "header", [b"*%d\r\n" % (MAX_PARTS + 1), b"*2\r\n*2\r\n", b"%5\r\n", b"+" + b"x" * 9999]
+)
 @pytest.mark.parametrize("piece", [1, 5, 99999])
 def test_what_came_before_a_header_that_promises_too_much_is_still_told(header: bytes, piece: int) -> None:
     """A fault is told in its turn, and nothing after it is believed."""
@@ -35,13 +37,13 @@
     with pytest.raises(hiredis.ProtocolError):
         for at in range(0, len(text), piece):
             reader.feed(text[at : at + piece])
-            while (message := reader.gets()) is not NOT_YET:
+            while (message := reader.gets()) is not INCOMPLETE:
                 got.append(message)
-    assert got == [[b"PING"]] and not reader.clear()
+    assert got == [[b"PING"]] and not reader.at_boundary()
 
 
 def test_a_line_without_end_is_not_held() -> None:
     reader = Reader()
-    for _ in range(3 * LONGEST_LINE):
+    for _ in range(3 * MAX_LINE_BYTES):
         reader.feed(b"x")
-    assert len(reader.line) <= LONGEST_LINE and reader.fault
+    assert len(reader.line) <= MAX_LINE_BYTES and reader.fault
--- a/tests/test_net_turns.py
+++ b/tests/test_net_turns.py
@@ -13,7 +13,7 @@
 
 from brackenwalk import interface as api
 from brackenwalk.net import listener
-from brackenwalk.net.clients import PIECE, READ_PER_TURN, ClientConnection
+from brackenwalk.net.clients import MAX_COMMANDS_PER_TURN, PARSE_CHUNK_BYTES, ClientConnection
 from tests.loopback import HIT, Link, Router, command, read, run
 from tests.test_terms_clients import NEVER, Roomy, at_once, leave_at_once, paused, turns
 
@@ -26,13 +26,13 @@
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.order: list[ClientConnection] = []
-        take = ClientConnection._take
+        take = ClientConnection._process_command
 
         def noted(connection: ClientConnection, parts: object) -> None:
             self.order.append(connection)
             take(connection, parts)
 
-        monkeypatch.setattr(ClientConnection, "_take", noted)
+        monkeypatch.setattr(ClientConnection, "_process_command", noted)
 
 
 async def flooded(router: Router, takes: Takes) -> Link:
@@ -56,7 +56,7 @@
             at_once(flooding, NO_COMMAND * FLOOD)
             at_once(other, command("PING"))
             assert await other.resp() == b"PONG"
-            assert len(takes.order) <= 4 * READ_PER_TURN
+            assert len(takes.order) <= 4 * MAX_COMMANDS_PER_TURN
             for _ in range(FLOOD):
                 assert isinstance(await flooding.resp(), Exception)
 
@@ -69,7 +69,7 @@
             takes = Takes(monkeypatch)
             leave_at_once(await flooded(router, takes))
             await turns()
-            assert len(takes.order) <= READ_PER_TURN and not router.listener.connections
+            assert len(takes.order) <= MAX_COMMANDS_PER_TURN and not router.listener.connections
 
     run(scenario)
 
@@ -81,17 +81,17 @@
         async with Router() as router:
             takes = Takes(monkeypatch)
             flooding = await flooded(router, takes)
-            assert len(takes.order) <= READ_PER_TURN
+            assert len(takes.order) <= MAX_COMMANDS_PER_TURN
             while len(takes.order) < FLOOD:
                 before = len(takes.order)
                 await asyncio.sleep(0)
-                assert len(takes.order) - before <= READ_PER_TURN
+                assert len(takes.order) - before <= MAX_COMMANDS_PER_TURN
             flooding.close()
 
     run(scenario)
 
 
-@pytest.mark.parametrize("size", [1, PIECE - 1, PIECE, PIECE + 1, 65_536])
+@pytest.mark.parametrize("size", [1, PARSE_CHUNK_BYTES - 1, PARSE_CHUNK_BYTES, PARSE_CHUNK_BYTES + 1, 65_536])
 def test_a_long_value_passes_whole_whatever_its_pieces(size: int) -> None:
     value = bytes(i % 251 for i in range(size))
 
@@ -111,7 +111,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """A dial that ended between two looks had its request written, for a client that had left before."""
-    monkeypatch.setattr(listener, "LOOK", NEVER)
+    monkeypatch.setattr(listener, "DISCONNECT_POLL_S", NEVER)
 
     async def scenario() -> None:
         async with Roomy() as router:
@@ -156,7 +156,7 @@
                 raise ValueError(content)
 
             monkeypatch.setattr(router.host.router, "handle", handle)
-            monkeypatch.setattr(router.host, "tell", faulty)
+            monkeypatch.setattr(router.host, "broadcast", faulty)
             client = await router.client()
             client.write(read("r1"))
             assert str(await client.resp()) == "ERR failed"
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -240,7 +240,7 @@
     """The window of cold servers said how long to wait: news came after it counted as told."""
     conf = settings(subscribe=True, siblings=6, fall_window=3.0, ramp=60.0, must_ask_in=10.0)
     pauses = pauses_after_failures(conf, 20)
-    assert discovery.WATCH_WAIT + discovery.ANSWER_MARGIN + pauses[0] < 6.0
+    assert discovery.WATCH_WAIT_S + discovery.RESPONSE_MARGIN_S + pauses[0] < 6.0
     assert max(pauses) <= 5.0
 
 
--- a/tests/test_terms_clients.py
+++ b/tests/test_terms_clients.py
@@ -156,7 +156,7 @@
 
 def test_no_further_attempt_begins_before_a_look(monkeypatch: pytest.MonkeyPatch) -> None:
     """A miss that came behind the client's end went on to the origin."""
-    monkeypatch.setattr(listener, "LOOK", NEVER)
+    monkeypatch.setattr(listener, "DISCONNECT_POLL_S", NEVER)
 
     async def scenario() -> None:
         async with Roomy() as router:
@@ -173,7 +173,7 @@
 
 def test_no_command_held_back_is_taken_for_a_client_that_has_left(monkeypatch: pytest.MonkeyPatch) -> None:
     """Each answer made room for a command that had waited in the router, whoever was still there."""
-    monkeypatch.setattr(listener, "LOOK", NEVER)
+    monkeypatch.setattr(listener, "DISCONNECT_POLL_S", NEVER)
 
     async def scenario() -> None:
         async with Roomy() as router:
@@ -250,7 +250,7 @@
             leave_at_once(client)
             router.servers.dial_timeout = 0.0
             await turns()
-            assert router.host.requests["r1"].sent <= 2 and router.host.requests["r1"].closed
+            assert router.host.requests["r1"].attempt_count <= 2 and router.host.requests["r1"].closed
             written = [c.exchange for c in others]
             assert written == [None, None] and unused(router)
 
@@ -286,7 +286,7 @@
             with Raw(router) as client:
                 await client.shown()
                 (connection,) = router.listener.connections
-                idle, crossed = ClientConnection.idle, [read("late")]
+                idle, crossed = ClientConnection.is_idle, [read("late")]
 
                 def closing(looked_at: ClientConnection) -> bool:
                     found = idle(looked_at)
@@ -294,7 +294,7 @@
                         client.send(crossed.pop(0))  # in the moment after the look
                     return found
 
-                monkeypatch.setattr(ClientConnection, "idle", closing)
+                monkeypatch.setattr(ClientConnection, "is_idle", closing)
                 stop = None
                 others = []
                 if why == "for room":
@@ -375,7 +375,7 @@
                 await client.shown()
                 stop = asyncio.create_task(router.listener.stop(0.0, 5.0))
                 assert await client.heard() == b""
-                await skip.ahead(clients.LINGER + 0.1)
+                await skip.ahead(clients.LINGER_S + 0.1)
                 assert stop.done() and not router.listener.lingering
 
     run(scenario)
@@ -524,7 +524,7 @@
                 await log
                 if limit == SOCKETS:
                     assert not failed
-                assert len(failed) <= 1 + (loop.time() - since) / listener.ACCEPT_PAUSE  # no spin
+                assert len(failed) <= 1 + (loop.time() - since) / listener.ACCEPT_RETRY_S  # no spin
                 back.server.close()
                 for each in idle:
                     each.close()
@@ -592,10 +592,10 @@
             rests, half = await Raw(router).shown(), await Raw(router).shown()
             half.send(b"*4\r\n")
             await turns()
-            await skip.ahead(clients.STALLED + 0.1)
+            await skip.ahead(clients.STALL_TIMEOUT_S + 0.1)
             for connection in router.listener.connections:
                 connection.transport.abort()
-            assert not router.listener._shut_one()
+            assert not router.listener._close_one()
             rests.socket.close()
             half.socket.close()
 
--- a/tests/test_terms_discovery.py
+++ b/tests/test_terms_discovery.py
@@ -16,7 +16,7 @@
 
 from brackenwalk import interface as api
 from brackenwalk.net import discovery as discoveries
-from brackenwalk.net.pool import address_of
+from brackenwalk.net.pool import parse_address
 from brackenwalk.policy import Router
 from tests.driver import entry, settings
 from tests.loopback import Link, Peer, command, http, run, spelled
@@ -27,9 +27,9 @@
 NEWS = 6.0  # seconds after which what discovery has counts as told, by the terms
 GRACE = 0.5  # the shortest time for a drain that was seen
 PATIENCE = 2.0  # for which discovery keeps a call waiting
-HANGING = discoveries.WATCH_WAIT + discoveries.ANSWER_MARGIN  # until a silent call is given up
+HANGING = discoveries.WATCH_WAIT_S + discoveries.RESPONSE_MARGIN_S  # until a silent call is given up
 # a connection that never comes up; without a bound of its own it has that of the whole call
-DIAL = getattr(discoveries, "DIAL", HANGING)
+DIAL = getattr(discoveries, "DIAL_TIMEOUT_S", HANGING)
 
 
 class Model:
@@ -120,7 +120,7 @@
         if self.watches.get(n) == call and call not in self.silent:
             self.renewed[n] = self.now
             self.feed(n, api.ServerList(api.ListKind.DELTA))
-            self.later(discoveries.WATCH_WAIT + discoveries.EMPTY_PAUSE, self.renew, n, call)
+            self.later(discoveries.WATCH_WAIT_S + discoveries.EMPTY_RESPONSE_PAUSE_S, self.renew, n, call)
 
     def go_down(self, mode: str) -> None:
         """Refuse calls and reset all watches, or fall silent."""
@@ -131,7 +131,9 @@
             else:
                 self.silent.add(watch)
                 since = self.now - self.renewed.get(n, self.now)
-                self.later(max(0.0, HANGING + discoveries.EMPTY_PAUSE - since), self.fail, n, watch)
+                self.later(
+                    max(0.0, HANGING + discoveries.EMPTY_RESPONSE_PAUSE_S - since), self.fail, n, watch
+                )
 
     def rate(self) -> int:
         """The most calls within a second."""
@@ -269,7 +271,7 @@
     """Given up, it would be worked through all the same, and the next one would wait behind it."""
 
     async def scenario() -> None:
-        monkeypatch.setattr(discoveries, "DIAL", 0.1, raising=False)
+        monkeypatch.setattr(discoveries, "DIAL_TIMEOUT_S", 0.1, raising=False)
         async with Peer() as peer:
             told = Told(peer)
             _, link = await call(peer)
@@ -317,7 +319,7 @@
         async with Peer() as old, Peer() as new:
             told = Told(old)
             await call(old)
-            assert told.watch.move(new.address)
+            assert told.watch.set_address(new.address)
             told.watch.subscribe()
             first, link = await call(new)
             assert "after=41&wait_ms=1 " in first
@@ -340,7 +342,7 @@
         async with Peer() as old, Peer() as new:
             told = Told(old)
             await call(old)
-            told.watch.move(new.address)
+            told.watch.set_address(new.address)
             told.watch.subscribe()
             _, link = await call(new)
             link.write(http("200 OK", message(41, False)))
@@ -445,7 +447,7 @@
             began = time.monotonic()
             discovery = spelled(down.getsockname())
             async with started(tmp_path / "c.json", discovery, old, siblings=230, me=229) as process:
-                await ready(address_of(spelled(await listening(process.stderr))))
+                await ready(parse_address(spelled(await listening(process.stderr))))
                 assert time.monotonic() - began < 6.0
 
     run(scenario)
