--- a/tests/test_grammar_resp.py
+++ b/tests/test_grammar_resp.py
@@ -20,7 +20,7 @@
 from brackenwalk.net.servers import CacheConnection
 from tests.loopback import Peer, Router, command, run
 from tests.test_net_host import error
-from tests.test_net_pool import caches
+from tests.test_net_pool import cache_attempts
 
 NULL = b"$-1\r\n"
 HEAD = re.compile(rb"\$(0|[1-9][0-9]*)\r\n")
@@ -174,13 +174,13 @@
 
     async def scenario() -> None:
         async with Peer() as peer:
-            ends = caches()
-            link = await ends.begun(peer)
+            ends = cache_attempts()
+            link = await ends.start_and_receive(peer)
             spoilt = b"$5\r\nvalueXY$-1\r\n$-1\r\n"
             link.write(b"*3\r\n" + spoilt[: 4 + at])
             await link.writer.drain()
             link.write(spoilt[4 + at :])
-            assert await ends.end() == (Status.ERROR, b"")
+            assert await ends.result() == (Status.ERROR, b"")
             assert await link.ended() and not ends.pool.connections
 
     run(scenario)
--- a/tests/test_main.py
+++ b/tests/test_main.py
@@ -17,11 +17,11 @@
 from brackenwalk import __main__ as program
 from brackenwalk.net.pool import parse_address
 from tests.loopback import HIT, PATIENCE, Link, Peer, command, http, read, run, spelled
-from tests.test_net_discovery import LINE, message
+from tests.test_net_discovery import ENTRY, message
 from tests.test_wirehost import CONF
 
-KNOWN = {"index": 41, "snapshot": True, "endpoints": [LINE]}
-GOOD: dict[str, Any] = {
+KNOWN = {"index": 41, "snapshot": True, "endpoints": [ENTRY]}
+VALID_CONFIG: dict[str, Any] = {
     "name": "n3",
     "listen": "127.0.0.1:6379",
     "discovery": "127.0.0.1:8500",
@@ -33,7 +33,7 @@
 
 
 def test_a_configuration_is_read() -> None:
-    config = program.read_config(orjson.dumps(GOOD))
+    config = program.read_config(orjson.dumps(VALID_CONFIG))
     assert (config.listen, config.discovery) == (("127.0.0.1", 6379), "127.0.0.1:8500")
     assert (config.seed, config.sockets, config.known_index) == (0x8C1F30D27A5BE964, 1024, 41)
     assert [m.entry.server for m in config.known] == ["s-1"]
@@ -41,7 +41,7 @@
     assert config.peer_listen is None
     ours, other, everyone = (f"127.0.0.1:{port}" for port in (1, 2, 3))
     talks: dict[str, Any] = {"peer_listen": ours, "peers": [ours, other], "peers_all": everyone}
-    config = program.read_config(orjson.dumps({**GOOD, **talks}))
+    config = program.read_config(orjson.dumps({**VALID_CONFIG, **talks}))
     assert [config.peer_listen, config.peers, config.peers_all] == list(talks.values())
 
 
@@ -74,7 +74,7 @@
     capsys: pytest.CaptureFixture[str],
 ) -> None:
     path = tmp_path / "config.json"
-    path.write_bytes(orjson.dumps({**GOOD, **change}))
+    path.write_bytes(orjson.dumps({**VALID_CONFIG, **change}))
     monkeypatch.setenv("RELAY_CONFIG", str(path))
     assert program.main() == 2
     (line,) = capsys.readouterr().err.splitlines()
@@ -98,13 +98,13 @@
 ) -> None:
     with socket.create_server(("127.0.0.1", 0)) as taken:
         path = tmp_path / "config.json"
-        path.write_bytes(orjson.dumps({**GOOD, "listen": spelled(taken.getsockname())}))
+        path.write_bytes(orjson.dumps({**VALID_CONFIG, "listen": spelled(taken.getsockname())}))
         monkeypatch.setenv("RELAY_CONFIG", str(path))
         assert program.main() == 2
     assert capsys.readouterr().err.splitlines()[-1].startswith("brackenwalk: listen: ")
 
 
-async def ready(address: tuple[str, int]) -> Link:
+async def connect_ready(address: tuple[str, int]) -> Link:
     """A client's connection that has been answered."""
     client = Link(*await asyncio.open_connection(*address))
     client.write(command("PING"))
@@ -112,7 +112,7 @@
     return client
 
 
-async def said(log: asyncio.StreamReader | None, what: bytes) -> bytes:
+async def wait_for_log(log: asyncio.StreamReader | None, what: bytes) -> bytes:
     """The next line of the log that has these words."""
     assert log is not None
     while (found := re.search(what, await log.readline())) is None:
@@ -120,14 +120,14 @@
     return found[0]
 
 
-async def listening(log: asyncio.StreamReader | None) -> tuple[str, int]:
+async def listening_address(log: asyncio.StreamReader | None) -> tuple[str, int]:
     """Where the program says that it listens."""
     return parse_address(
-        (await said(log, rb"listening on [0-9.]+:\d+")).decode().removeprefix("listening on ")
+        (await wait_for_log(log, rb"listening on [0-9.]+:\d+")).decode().removeprefix("listening on ")
     )
 
 
-async def launched(path: Path, config: dict[str, Any]) -> asyncio.subprocess.Process:
+async def launch(path: Path, config: dict[str, Any]) -> asyncio.subprocess.Process:
     """The program in a process of its own, with a configuration at this path; its log is standard error."""
     path.write_bytes(orjson.dumps(config))
     return await asyncio.create_subprocess_exec(
@@ -148,30 +148,35 @@
 
     async def scenario() -> None:
         async with Peer() as cache, Peer() as discovery, Peer() as moved:
-            line = {**LINE, "address": cache.address, "type": "std", "since_ms": 0}
+            line = {**ENTRY, "address": cache.address, "type": "std", "since_ms": 0}
             known = {"index": 1, "snapshot": True, "endpoints": [line]}
             settings = {**CONF, "membershipMode": mode}
-            config = {**GOOD, "settings": settings, "listen": "127.0.0.1:0", "discovery": discovery.address}
+            config = {
+                **VALID_CONFIG,
+                "settings": settings,
+                "listen": "127.0.0.1:0",
+                "discovery": discovery.address,
+            }
             config["known"] = known
             path = tmp_path / "config.json"
-            process = await launched(path, config)
+            process = await launch(path, config)
             try:
                 watch = await discovery.link()
                 assert "after=1&" in (await watch.http())[0]
                 watch.write(http("200 OK", message(2, False)))
-                address = await listening(process.stderr)
-                client = await ready(address)
+                address = await listening_address(process.stderr)
+                client = await connect_ready(address)
                 client.write(read("r1"))
                 served = await cache.link()
                 await served.resp()
                 path.write_bytes(b"{")
                 process.send_signal(signal.SIGHUP)
-                await said(process.stderr, rb"configuration not taken: .*")
+                await wait_for_log(process.stderr, rb"configuration not taken: .*")
                 path.write_bytes(orjson.dumps({**config, "discovery": moved.address}))
                 process.send_signal(signal.SIGHUP)
                 assert "after=2&" in (await (await moved.link()).http())[0]
                 process.send_signal(signal.SIGTERM)
-                late = await ready(address)
+                late = await connect_ready(address)
                 assert await late.ended()
                 served.write(HIT)
                 assert await client.resp() == b"value"
@@ -189,16 +194,16 @@
 
     async def scenario() -> None:
         async with Peer() as cache, Peer() as discovery:
-            line = {**LINE, "address": cache.address, "type": "std", "since_ms": 0}
+            line = {**ENTRY, "address": cache.address, "type": "std", "since_ms": 0}
             classes = [{**CONF["classes"][0], "giveUp": 0.3}, *CONF["classes"][1:]]
-            config = {**GOOD, "listen": "127.0.0.1:0", "discovery": discovery.address}
+            config = {**VALID_CONFIG, "listen": "127.0.0.1:0", "discovery": discovery.address}
             config["settings"] = {**CONF, "classes": [{**c, "giveUp": 0.3} for c in classes]}
             config["known"] = {"index": 1, "snapshot": True, "endpoints": [line]}
             path = tmp_path / "config.json"
-            process = await launched(path, config)
+            process = await launch(path, config)
             try:
-                address = await listening(process.stderr)
-                clients = [await ready(address) for _ in range(3)]
+                address = await listening_address(process.stderr)
+                clients = [await connect_ready(address) for _ in range(3)]
                 for i, client in enumerate(clients):
                     client.write(read(f"r{i}", info=f"c={classes[i % len(classes)]['name']},d=60000"))
                     await (await cache.link()).resp()
@@ -221,17 +226,19 @@
 
     async def scenario() -> None:
         async with Peer() as cache, Peer() as discovery:
-            lines = [{**LINE, "name": f"s-{i}", "address": cache.address, "since_ms": 0} for i in range(1024)]
+            lines = [
+                {**ENTRY, "name": f"s-{i}", "address": cache.address, "since_ms": 0} for i in range(1024)
+            ]
             known = {"index": 1, "snapshot": True, "endpoints": lines}
             peers = ["127.0.0.1:0", *(f"127.1.{i // 256}.{i % 256}:7946" for i in range(1023))]
             talks = {"peer_listen": peers[0], "peers": peers, "peers_all": "127.1.255.255:7946"}
             settings = {**CONF, "siblings": 1024, "limits": {**CONF["limits"], "peers": True}}
-            config = {**GOOD, **talks, "settings": settings, "known": known}
+            config = {**VALID_CONFIG, **talks, "settings": settings, "known": known}
             config |= {"listen": "127.0.0.1:0", "discovery": discovery.address}
             path = tmp_path / "config.json"
-            process = await launched(path, config)
+            process = await launch(path, config)
             try:
-                client = await ready(await listening(process.stderr))
+                client = await connect_ready(await listening_address(process.stderr))
                 watch = await discovery.link()
                 assert "after=1&" in (await watch.http())[0]
                 whole = {"index": 2, "snapshot": True, "endpoints": lines}
--- a/tests/test_net_discovery.py
+++ b/tests/test_net_discovery.py
@@ -14,7 +14,7 @@
 from brackenwalk.net.host import Member
 from tests.loopback import Link, Peer, http, run
 
-LINE: dict[str, Any] = {
+ENTRY: dict[str, Any] = {
     "name": "s-1",
     "address": "127.0.0.9:6379",
     "zone": "a",
@@ -30,18 +30,18 @@
     return orjson.dumps({"index": index, "snapshot": whole, "endpoints": lines})
 
 
-class Told:
+class WatchRecorder:
     """What a watch tells its router, in order; a failure is None."""
 
     def __init__(self, peer: Peer) -> None:
         self.news: asyncio.Queue[tuple[api.ListKind, list[Member]] | None] = asyncio.Queue()
-        self.watch = DiscoveryClient(
+        self.client = DiscoveryClient(
             peer.address,
             41,
             lambda kind, members: self.news.put_nowait((kind, members)),
             lambda: self.news.put_nowait(None),
         )
-        self.watch.subscribe()
+        self.client.subscribe()
 
 
 async def call(peer: Peer) -> tuple[str, Link]:
@@ -50,11 +50,11 @@
 
 
 def test_an_entry_is_read() -> None:
-    index, whole, (member,) = read_list(orjson.loads(message(7, True, LINE)))
+    index, whole, (member,) = read_list(orjson.loads(message(7, True, ENTRY)))
     assert (index, whole, member.address) == (7, True, "127.0.0.9:6379")
     entry = api.ServerEntry("s-1", api.State.READY, "m2", "a", 3, 1.5, 1_790_000_000.25)
     assert member.entry == entry  # named as at every router, since on the host's own clock
-    _, _, (old,) = read_list(orjson.loads(message(7, True, {**LINE, "since_ms": 0})))
+    _, _, (old,) = read_list(orjson.loads(message(7, True, {**ENTRY, "since_ms": 0})))
     assert old.entry.since == 0
 
 
@@ -72,24 +72,24 @@
 )
 def test_a_malformed_entry_is_named(change: dict[str, Any], named: str) -> None:
     with pytest.raises(ListError, match=rf"^known\.endpoints\[1\]\.{named}"):
-        read_list({"index": 1, "snapshot": True, "endpoints": [LINE, {**LINE, **change}]}, "known")
+        read_list({"index": 1, "snapshot": True, "endpoints": [ENTRY, {**ENTRY, **change}]}, "known")
 
 
 def test_a_watch_goes_on_from_what_it_was_told() -> None:
     async def scenario() -> None:
         async with Peer() as peer:
-            told = Told(peer)
+            told = WatchRecorder(peer)
             first, link = await call(peer)
             assert first == "GET /registry/instances?after=41&wait_ms=3000 HTTP/1.1"
-            link.write(http("200 OK", message(43, False, {**LINE, "status": "terminating"})))
+            link.write(http("200 OK", message(43, False, {**ENTRY, "status": "terminating"})))
             kind, (member,) = await told.news.get() or pytest.fail()
             assert kind is api.ListKind.DELTA and member.entry.state is api.State.DRAINING
             first, link = await call(peer)
             assert "after=43&" in first
-            link.write(http("200 OK", message(50, True, LINE)))
+            link.write(http("200 OK", message(50, True, ENTRY)))
             assert (await told.news.get() or pytest.fail())[0] is api.ListKind.FULL
             assert "after=50&" in (await call(peer))[0]
-            told.watch.close()
+            told.client.close()
 
     run(scenario)
 
@@ -97,13 +97,13 @@
 def test_asking_again_while_a_watch_is_on_makes_no_second_call() -> None:
     async def scenario() -> None:
         async with Peer() as peer:
-            told = Told(peer)
-            told.watch.subscribe()
+            told = WatchRecorder(peer)
+            told.client.subscribe()
             _, link = await call(peer)
             link.write(http("200 OK", message(42, False)))
             await told.news.get()
             assert "after=42&" in (await call(peer))[0]  # and none with 41 before it
-            told.watch.close()
+            told.client.close()
 
     run(scenario)
 
@@ -115,7 +115,7 @@
         http("200 OK", b"not json"),
         http("200 OK", b"[]"),
         http("200 OK", b'{"index":42,"snapshot":false}'),
-        http("200 OK", message(42, False, {**LINE, "address": ""})),
+        http("200 OK", message(42, False, {**ENTRY, "address": ""})),
         b"hello\r\n\r\n",
         b"HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n{",
         b"",
@@ -126,14 +126,14 @@
 
     async def scenario() -> None:
         async with Peer() as peer:
-            told = Told(peer)
+            told = WatchRecorder(peer)
             _, link = await call(peer)
             link.write(answer)
             link.close()
             assert await told.news.get() is None
-            told.watch.subscribe()
+            told.client.subscribe()
             assert "after=41&" in (await call(peer))[0]
-            told.watch.close()
+            told.client.close()
 
     run(scenario)
 
@@ -142,7 +142,7 @@
     async def scenario() -> None:
         async with Peer() as peer:
             pass
-        assert await Told(peer).news.get() is None
+        assert await WatchRecorder(peer).news.get() is None
 
     run(scenario)
 
@@ -154,7 +154,7 @@
         monkeypatch.setattr(discoveries, "WATCH_WAIT_S", 0.05)
         monkeypatch.setattr(discoveries, "RESPONSE_MARGIN_S", 0.05)
         async with Peer() as peer:
-            told = Told(peer)
+            told = WatchRecorder(peer)
             _, link = await call(peer)
             assert await told.news.get() is None
             assert await link.ended()
@@ -167,15 +167,15 @@
 
     async def scenario() -> None:
         async with Peer() as peer:
-            told = Told(peer)
+            told = WatchRecorder(peer)
 
             def faulty(kind: api.ListKind, members: list[Member]) -> None:
                 raise RuntimeError("a fault")
 
-            told.watch.on_list = faulty
+            told.client.on_list = faulty
             _, link = await call(peer)
-            link.write(http("200 OK", message(42, False, LINE)))
-            assert await told.news.get() is None and told.watch.watch_task is None
+            link.write(http("200 OK", message(42, False, ENTRY)))
+            assert await told.news.get() is None and told.client.watch_task is None
 
     run(scenario)
 
@@ -186,24 +186,24 @@
 
     async def scenario() -> None:
         async with Peer() as old, Peer() as new:
-            told = Told(old)
+            told = WatchRecorder(old)
             _, link = await call(old)
             if failed:
                 link.write(http("503 Busy"))
                 assert await told.news.get() is None
-            assert not told.watch.set_address(old.address)  # no news: nothing changes
-            before = told.watch.watch_task
+            assert not told.client.set_address(old.address)  # no news: nothing changes
+            before = told.client.watch_task
             assert (
-                told.watch.set_address(new.address) and told.watch.watch_task is before
+                told.client.set_address(new.address) and told.client.watch_task is before
             )  # until the module asks
-            told.watch.subscribe()
+            told.client.subscribe()
             assert failed or await link.ended()
             first, link = await call(new)
             assert "after=41&" in first
-            told.watch.subscribe()
+            told.client.subscribe()
             link.write(http("200 OK", message(42, False)))
             assert (await told.news.get() or pytest.fail())[0] is api.ListKind.DELTA
             assert "after=42&" in (await call(new))[0] and told.news.empty()
-            told.watch.close()
+            told.client.close()
 
     run(scenario)
--- a/tests/test_net_pool.py
+++ b/tests/test_net_pool.py
@@ -22,14 +22,14 @@
 LONG = b"$70000\r\n" + b"x" * 70000
 
 
-class Ends:
+class AttemptRecorder:
     """Starts attempts and collects how they end."""
 
     def __init__(self, pool: Pool) -> None:
         self.pool = pool
         self.results: asyncio.Queue[tuple[Status, bytes]] = asyncio.Queue()
 
-    async def begun(self, peer: Peer) -> Link:
+    async def start_and_receive(self, peer: Peer) -> Link:
         """An attempt that the peer has in hand."""
         self.start(peer.address)
         link = await peer.link()
@@ -39,12 +39,12 @@
     def start(self, address: str, command: Command = GET) -> Exchange:
         return self.pool.start(address, command, 0.5, lambda s, v: self.results.put_nowait((s, v)))
 
-    async def end(self) -> tuple[Status, bytes]:
+    async def result(self) -> tuple[Status, bytes]:
         return await self.results.get()
 
 
-def caches(budget: int = 8, idle: float = 60.0, dial: float = 1.0) -> Ends:
-    return Ends(Pool(CacheConnection, budget, dial, idle))
+def cache_attempts(budget: int = 8, idle: float = 60.0, dial: float = 1.0) -> AttemptRecorder:
+    return AttemptRecorder(Pool(CacheConnection, budget, dial, idle))
 
 
 @pytest.mark.parametrize(
@@ -61,18 +61,18 @@
 def test_answers_of_a_cache_server(answer: bytes, status: Status, value: bytes) -> None:
     async def scenario() -> None:
         async with Peer() as peer:
-            ends = caches()
-            ends.start(peer.address)
+            attempts = cache_attempts()
+            attempts.start(peer.address)
             link = await peer.link()
             *parts, info = await link.resp()
             assert parts == [b"C.GET", b"k", b"r1"]
             assert info.startswith(b"c=read,d=") and 0 < int(info[9:]) < 500  # what the dial took is gone
             link.write(answer)
-            assert await ends.end() == (status, value)
+            assert await attempts.result() == (status, value)
             await asyncio.sleep(2 * pools.REUSE_DELAY_S)
-            ends.start(peer.address)  # and the connection is kept
+            attempts.start(peer.address)  # and the connection is kept
             await link.resp()
-            ends.pool.close()
+            attempts.pool.close()
 
     run(scenario)
 
@@ -95,11 +95,11 @@
 
     async def scenario() -> None:
         async with Peer() as peer:
-            ends = caches()
-            link = await ends.begun(peer)
+            attempts = cache_attempts()
+            link = await attempts.start_and_receive(peer)
             link.write(answer)
-            assert await ends.end() == (Status.ERROR, b"")
-            assert await link.ended() and not ends.pool.connections
+            assert await attempts.result() == (Status.ERROR, b"")
+            assert await link.ended() and not attempts.pool.connections
 
     run(scenario)
 
@@ -115,11 +115,11 @@
 
     async def scenario() -> None:
         async with Peer() as peer:
-            ends = caches()
-            link = await ends.begun(peer)
+            attempts = cache_attempts()
+            link = await attempts.start_and_receive(peer)
             link.write(HIT + more)
-            assert await ends.end() == (Status.OK, b"value")
-            assert await link.ended() and not ends.pool.idle
+            assert await attempts.result() == (Status.OK, b"value")
+            assert await link.ended() and not attempts.pool.idle
 
     run(scenario)
 
@@ -130,12 +130,12 @@
 
     async def scenario() -> None:
         async with Peer() as peer:
-            ends = caches()
-            link = await ends.begun(peer)
+            attempts = cache_attempts()
+            link = await attempts.start_and_receive(peer)
             link.write(HIT)
-            assert await ends.end() == (Status.OK, b"value")
+            assert await attempts.result() == (Status.OK, b"value")
             link.write(more)
-            assert await link.ended() and not ends.pool.idle and not ends.pool.connections
+            assert await link.ended() and not attempts.pool.idle and not attempts.pool.connections
 
     run(scenario)
 
@@ -144,10 +144,10 @@
 def test_a_break_after_the_last_byte_may_have_run(how: str) -> None:
     async def scenario() -> None:
         async with Peer() as peer:
-            ends = caches()
-            link = await ends.begun(peer)
+            attempts = cache_attempts()
+            link = await attempts.start_and_receive(peer)
             getattr(link, how)()
-            assert await ends.end() == (Status.RESET, b"")
+            assert await attempts.result() == (Status.RESET, b"")
 
     run(scenario)
 
@@ -157,12 +157,12 @@
 
     async def scenario() -> None:
         async with Peer() as peer:
-            ends = caches()
-            ends.start(peer.address, HUGE)
+            attempts = cache_attempts()
+            attempts.start(peer.address, HUGE)
             link = await peer.link()
             await link.reader.read(1)
             link.reset()
-            assert await ends.end() == (Status.CONNECT_FAILED, b"")
+            assert await attempts.result() == (Status.CONNECT_FAILED, b"")
 
     run(scenario)
 
@@ -170,12 +170,12 @@
 def test_a_request_written_in_pieces_may_have_run_once_all_are() -> None:
     async def scenario() -> None:
         async with Peer() as peer:
-            ends = caches()
-            ends.start(peer.address, HUGE)
+            attempts = cache_attempts()
+            attempts.start(peer.address, HUGE)
             link = await peer.link()
             assert len(await link.resp()) == 5
             link.reset()
-            assert await ends.end() == (Status.RESET, b"")
+            assert await attempts.result() == (Status.RESET, b"")
 
     run(scenario)
 
@@ -184,10 +184,10 @@
     async def scenario() -> None:
         async with Peer() as peer:
             address = peer.address
-        ends = caches()
-        ends.start(address)
-        assert await ends.end() == (Status.CONNECT_FAILED, b"")
-        assert not ends.pool.connections
+        attempts = cache_attempts()
+        attempts.start(address)
+        assert await attempts.result() == (Status.CONNECT_FAILED, b"")
+        assert not attempts.pool.connections
 
     run(scenario)
 
@@ -200,9 +200,9 @@
             full.bind(("127.0.0.1", 0))
             full.listen(0)  # room for one, which `first` takes; the next gets no answer
             first.connect(full.getsockname())
-            ends = caches(dial=0.05)
-            ends.start(spelled(full.getsockname()))
-            assert await ends.end() == (Status.CONNECT_FAILED, b"")
+            attempts = cache_attempts(dial=0.05)
+            attempts.start(spelled(full.getsockname()))
+            assert await attempts.result() == (Status.CONNECT_FAILED, b"")
 
     run(scenario)
 
@@ -212,16 +212,16 @@
 
     async def scenario() -> None:
         async with Peer() as peer:
-            ends = caches()
-            first = await ends.begun(peer)
+            attempts = cache_attempts()
+            first = await attempts.start_and_receive(peer)
             first.write(HIT)
-            assert await ends.end() == (Status.OK, b"value")
-            second = await ends.begun(peer)  # on a connection of its own: the first one rests
+            assert await attempts.result() == (Status.OK, b"value")
+            second = await attempts.start_and_receive(peer)  # on a connection of its own: the first one rests
             first.write(HIT.replace(b"value", b"other"))
-            assert await first.ended() and ends.results.empty()
+            assert await first.ended() and attempts.results.empty()
             second.write(HIT)
-            assert await ends.end() == (Status.OK, b"value")
-            ends.pool.close()
+            assert await attempts.result() == (Status.OK, b"value")
+            attempts.pool.close()
 
     run(scenario)
 
@@ -229,7 +229,7 @@
 def test_a_dial_counts_in_the_time_that_the_server_is_told(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
         async with Peer() as peer:
-            loop, ends = asyncio.get_running_loop(), caches()
+            loop, attempts = asyncio.get_running_loop(), cache_attempts()
             connect = loop.create_connection
 
             async def slow(*args: Any) -> Any:
@@ -237,10 +237,10 @@
                 return await connect(*args)
 
             monkeypatch.setattr(loop, "create_connection", slow)
-            ends.start(peer.address)
+            attempts.start(peer.address)
             *_, info = await (await peer.link()).resp()
             assert 0 < int(info.removeprefix(b"c=read,d=")) <= 400
-            ends.pool.close()
+            attempts.pool.close()
 
     run(scenario)
 
@@ -254,18 +254,18 @@
         with socket.create_server(("127.0.0.1", 0)) as server:
             server.setblocking(False)
             address = spelled(server.getsockname())
-            ends = caches()
-            ends.start(address)
+            attempts = cache_attempts()
+            attempts.start(address)
             first, _ = await loop.sock_accept(server)
             await loop.sock_recv(first, 4096)
             await loop.sock_sendall(first, HIT)
-            await ends.end()
+            await attempts.result()
             first.close()  # and the loop has not looked since
-            ends.start(address)
+            attempts.start(address)
             second, _ = await loop.sock_accept(server)
             await loop.sock_recv(second, 4096)
             await loop.sock_sendall(second, MISS)
-            assert await ends.end() == (Status.MISS, b"")
+            assert await attempts.result() == (Status.MISS, b"")
             second.close()
 
     run(scenario)
@@ -276,11 +276,11 @@
 
     async def scenario() -> None:
         async with Peer() as peer:
-            ends = caches(idle=pools.IDLE_MARGIN_S + 0.01)
-            link = await ends.begun(peer)
+            attempts = cache_attempts(idle=pools.IDLE_MARGIN_S + 0.01)
+            link = await attempts.start_and_receive(peer)
             link.write(HIT)
-            assert await ends.end() == (Status.OK, b"value")
-            assert await link.ended() and not ends.pool.connections
+            assert await attempts.result() == (Status.OK, b"value")
+            assert await link.ended() and not attempts.pool.connections
 
     run(scenario)
 
@@ -290,12 +290,12 @@
 
     async def scenario() -> None:
         async with Peer() as peer:
-            ends = caches()
-            exchange = ends.start(peer.address)
+            attempts = cache_attempts()
+            exchange = attempts.start(peer.address)
             link = await peer.link()
             await link.resp()
             exchange.abandon()
-            assert await link.ended() and ends.results.empty()
+            assert await link.ended() and attempts.results.empty()
 
     run(scenario)
 
@@ -303,16 +303,16 @@
 def test_giving_up_while_dialling_sends_nothing() -> None:
     async def scenario() -> None:
         async with Peer() as peer:
-            ends = caches()
-            exchange = ends.start(peer.address)
+            attempts = cache_attempts()
+            exchange = attempts.start(peer.address)
             exchange.abandon()
             assert exchange.dial is not None
             await asyncio.wait([exchange.dial])
-            ends.start(peer.address)
+            attempts.start(peer.address)
             link = await peer.link()
             assert (await link.resp())[2] == b"r1"
-            assert len(ends.pool.connections) == 1 and ends.results.empty()
-            ends.pool.close()
+            assert len(attempts.pool.connections) == 1 and attempts.results.empty()
+            attempts.pool.close()
 
     run(scenario)
 
@@ -322,24 +322,26 @@
 
     async def scenario() -> None:
         async with Peer() as one, Peer() as other:
-            ends = caches(budget=1)
-            ends.start(one.address)
+            attempts = cache_attempts(budget=1)
+            attempts.start(one.address)
             link = await one.link()
             await link.resp()
-            ends.start(other.address)
-            assert await ends.end() == (Status.CONNECT_FAILED, b"")
+            attempts.start(other.address)
+            assert await attempts.result() == (Status.CONNECT_FAILED, b"")
             link.write(HIT)
-            assert await ends.end() == (Status.OK, b"value")
-            ends.start(other.address)  # an idle one makes room
+            assert await attempts.result() == (Status.OK, b"value")
+            attempts.start(other.address)  # an idle one makes room
             assert await link.ended()
             await (await other.link()).resp()
-            ends.pool.close()
+            attempts.pool.close()
 
     run(scenario)
 
 
-async def asked(peer: Peer, ends: Ends, command: Command = GET) -> tuple[Link, str, dict[str, str], bytes]:
-    ends.start(peer.address, command)
+async def asked(
+    peer: Peer, attempts: AttemptRecorder, command: Command = GET
+) -> tuple[Link, str, dict[str, str], bytes]:
+    attempts.start(peer.address, command)
     link = await peer.link()
     return link, *await link.http()
 
@@ -364,18 +366,18 @@
 def test_answers_of_the_origin(answer: bytes, status: Status, value: bytes) -> None:
     async def scenario() -> None:
         async with Peer() as peer:
-            ends = Ends(Pool(OriginConnection, 8, 1.0, 60.0))
-            link, first, headers, _ = await asked(peer, ends)
+            attempts = AttemptRecorder(Pool(OriginConnection, 8, 1.0, 60.0))
+            link, first, headers, _ = await asked(peer, attempts)
             assert first == "GET /k HTTP/1.1"
             info = headers["request-info"]
             assert headers["request-id"] == "r1"
             assert info.startswith("c=read,d=") and 0 < int(info[9:]) < 500  # what the dial took is gone
             link.write(answer)
-            assert await ends.end() == (status, value)
+            assert await attempts.result() == (status, value)
             await asyncio.sleep(2 * pools.REUSE_DELAY_S)
-            ends.start(peer.address)  # and the connection is kept
+            attempts.start(peer.address)  # and the connection is kept
             await link.http()
-            ends.pool.close()
+            attempts.pool.close()
 
     run(scenario)
 
@@ -400,12 +402,12 @@
 def test_malformed_and_broken_answers_of_the_origin(answer: bytes, status: Status) -> None:
     async def scenario() -> None:
         async with Peer() as peer:
-            ends = Ends(Pool(OriginConnection, 8, 1.0, 60.0))
-            link, *_ = await asked(peer, ends)
+            attempts = AttemptRecorder(Pool(OriginConnection, 8, 1.0, 60.0))
+            link, *_ = await asked(peer, attempts)
             link.write(answer)
             link.close()
-            assert (await ends.end())[0] is status
-            assert await link.ended() and not ends.pool.idle
+            assert (await attempts.result())[0] is status
+            assert await link.ended() and not attempts.pool.idle
 
     run(scenario)
 
@@ -430,13 +432,13 @@
     loop = asyncio.get_running_loop()
     with socket.create_server(("127.0.0.1", 0)) as server:
         server.setblocking(False)
-        ends = Ends(Pool(Counting, 8, 1.0, 60.0))
-        ends.start(spelled(server.getsockname()))
+        attempts = AttemptRecorder(Pool(Counting, 8, 1.0, 60.0))
+        attempts.start(spelled(server.getsockname()))
         peer, _ = await loop.sock_accept(server)
         request = b""
         while not request.endswith(b"\r\n\r\n"):
             request += await loop.sock_recv(peer, 4096)
-        (connection,) = ends.pool.connections
+        (connection,) = attempts.pool.connections
         assert isinstance(connection, Counting)
         peer.sendall(data)
         while not one_turn and connection.got < len(data):
@@ -445,8 +447,8 @@
             end_with_reset(peer)
         else:
             peer.close()
-        end = await ends.end()
-        ends.pool.close()
+        end = await attempts.result()
+        attempts.pool.close()
         return end
 
 
@@ -510,15 +512,15 @@
 
     async def scenario() -> None:
         async with Peer() as peer:
-            ends = Ends(Pool(OriginConnection, 8, 1.0, 60.0))
+            attempts = AttemptRecorder(Pool(OriginConnection, 8, 1.0, 60.0))
             put = Command(b"C.SET", key, b"r1", {"d": "900"}, 900, b"slot")
-            _, first, _, body = await asked(peer, ends, put)
+            _, first, _, body = await asked(peer, attempts, put)
             method, path, _ = first.split(" ")
             assert method == "PUT" and body == b"slot"
             assert not set(path[1:]) & set("/?# ") and path == "/" + "".join(
                 chr(c) if chr(c).isalnum() and c < 128 or c in b"-._~" else f"%{c:02X}" for c in key
             )
-            ends.pool.close()
+            attempts.pool.close()
 
     run(scenario)
 
@@ -528,9 +530,9 @@
 
     async def scenario() -> None:
         async with Peer() as peer:
-            ends = Ends(Pool(OriginConnection, 8, 1.0, 60.0))
-            ends.start(peer.address, Command(b"C.GET", b"k", b"r1", {"x": "a\r\nb", "d": "9"}, 9))
-            assert await ends.end() == (Status.CONNECT_FAILED, b"")
-            assert await (await peer.link()).ended() and not ends.pool.connections
+            attempts = AttemptRecorder(Pool(OriginConnection, 8, 1.0, 60.0))
+            attempts.start(peer.address, Command(b"C.GET", b"k", b"r1", {"x": "a\r\nb", "d": "9"}, 9))
+            assert await attempts.result() == (Status.CONNECT_FAILED, b"")
+            assert await (await peer.link()).ended() and not attempts.pool.connections
 
     run(scenario)
--- a/tests/test_terms_clients.py
+++ b/tests/test_terms_clients.py
@@ -21,8 +21,8 @@
 from brackenwalk.net import clients, listener
 from brackenwalk.net.clients import MAX_PIPELINED, ClientConnection
 from tests.loopback import HIT, MISS, SETTINGS, Link, Peer, Router, book, command, http, read, run, spelled
-from tests.test_main import GOOD, launched, listening
-from tests.test_net_discovery import LINE
+from tests.test_main import VALID_CONFIG, launch, listening_address
+from tests.test_net_discovery import ENTRY
 from tests.test_wirehost import CONF
 
 LONG = "c=read,t=x,d=60000"
@@ -429,19 +429,19 @@
 ) -> AsyncIterator[tuple[asyncio.subprocess.Process, tuple[str, int]]]:
     """The real program in a process that may hold so many descriptors, and where it listens."""
     lines = [
-        {**LINE, "name": f"s-{i}", "address": c.address, "type": "std", "since_ms": 0}
+        {**ENTRY, "name": f"s-{i}", "address": c.address, "type": "std", "since_ms": 0}
         for i, c in enumerate(caches)
     ]
-    config = {**GOOD, "listen": "127.0.0.1:0", "discovery": discovery}
+    config = {**VALID_CONFIG, "listen": "127.0.0.1:0", "discovery": discovery}
     config["known"] = {"index": 1, "snapshot": True, "endpoints": lines}
-    config["limits"] = {**GOOD["limits"], "sockets": SOCKETS}
+    config["limits"] = {**VALID_CONFIG["limits"], "sockets": SOCKETS}
     classes = [{**c, "giveUp": 1.0} for c in CONF["classes"]]
     config["settings"] = {**CONF, "membershipMode": "automatic", "classes": classes}
     path = tmp_path / "config.json"
-    process = await launched(path, config)
+    process = await launch(path, config)
     try:
         resource.prlimit(process.pid, resource.RLIMIT_NOFILE, (limit, limit))
-        address = await listening(process.stderr)
+        address = await listening_address(process.stderr)
         yield process, address
     finally:
         if process.returncode is None:
--- a/tests/test_terms_discovery.py
+++ b/tests/test_terms_discovery.py
@@ -20,8 +20,8 @@
 from brackenwalk.policy import Router
 from tests.driver import entry, settings
 from tests.loopback import Link, Peer, command, http, run, spelled
-from tests.test_main import GOOD, launched, listening, ready
-from tests.test_net_discovery import LINE, Told, call, message
+from tests.test_main import VALID_CONFIG, connect_ready, launch, listening_address
+from tests.test_net_discovery import ENTRY, WatchRecorder, call, message
 from tests.test_wirehost import CONF
 
 NEWS = 6.0  # seconds after which what discovery has counts as told, by the terms
@@ -257,7 +257,7 @@
             peer = Peer()
             peer.address = spelled(full.getsockname())
             began = time.monotonic()
-            assert await Told(peer).news.get() is None
+            assert await WatchRecorder(peer).news.get() is None
             assert time.monotonic() - began < 2.0
             for filler in fillers:
                 filler.close()
@@ -273,12 +273,12 @@
     async def scenario() -> None:
         monkeypatch.setattr(discoveries, "DIAL_TIMEOUT_S", 0.1, raising=False)
         async with Peer() as peer:
-            told = Told(peer)
+            told = WatchRecorder(peer)
             _, link = await call(peer)
             await asyncio.sleep(0.3)
             link.write(http("200 OK", message(42, False)))
             assert await told.news.get() == (api.ListKind.DELTA, [])
-            told.watch.close()
+            told.client.close()
 
     run(scenario)
 
@@ -286,12 +286,12 @@
 WHOLE = "GET /registry/instances HTTP/1.1"
 
 
-async def whole_list_is_asked_for(peer: Peer, told: Told, link: Link) -> None:
+async def whole_list_is_asked_for(peer: Peer, told: WatchRecorder, link: Link) -> None:
     """The answer to the watch has a lower version: what became of the list is not in it."""
-    link.write(http("200 OK", message(7, False, {**LINE, "status": "terminating"})))
+    link.write(http("200 OK", message(7, False, {**ENTRY, "status": "terminating"})))
     first, link = await call(peer)
     assert first == WHOLE
-    link.write(http("200 OK", message(8, True, LINE)))
+    link.write(http("200 OK", message(8, True, ENTRY)))
     kind, (member,) = await told.news.get() or pytest.fail()
     assert kind is api.ListKind.FULL and member.entry.state is api.State.READY
     assert "after=8&wait_ms=3000" in (await call(peer))[0] and told.news.empty()
@@ -302,11 +302,11 @@
 
     async def scenario() -> None:
         async with Peer() as peer:
-            told = Told(peer)
+            told = WatchRecorder(peer)
             first, link = await call(peer)
             assert "after=41&" in first
             await whole_list_is_asked_for(peer, told, link)
-            told.watch.close()
+            told.client.close()
 
     run(scenario)
 
@@ -317,20 +317,20 @@
 
     async def scenario() -> None:
         async with Peer() as old, Peer() as new:
-            told = Told(old)
+            told = WatchRecorder(old)
             await call(old)
-            assert told.watch.set_address(new.address)
-            told.watch.subscribe()
+            assert told.client.set_address(new.address)
+            told.client.subscribe()
             first, link = await call(new)
             assert "after=41&wait_ms=1 " in first
             if failed:  # nothing is known of it yet
                 link.reset()
                 assert await told.news.get() is None
-                told.watch.subscribe()
+                told.client.subscribe()
                 first, link = await call(new)
                 assert "after=41&wait_ms=1 " in first
             await whole_list_is_asked_for(new, told, link)
-            told.watch.close()
+            told.client.close()
 
     run(scenario)
 
@@ -340,15 +340,15 @@
 
     async def scenario() -> None:
         async with Peer() as old, Peer() as new:
-            told = Told(old)
+            told = WatchRecorder(old)
             await call(old)
-            told.watch.set_address(new.address)
-            told.watch.subscribe()
+            told.client.set_address(new.address)
+            told.client.subscribe()
             _, link = await call(new)
             link.write(http("200 OK", message(41, False)))
             assert await told.news.get() == (api.ListKind.DELTA, [])
             assert "after=41&wait_ms=3000" in (await call(new))[0]
-            told.watch.close()
+            told.client.close()
 
     run(scenario)
 
@@ -356,23 +356,23 @@
 def test_a_whole_list_of_a_lower_version_is_taken_as_it_is() -> None:
     async def scenario() -> None:
         async with Peer() as peer:
-            told = Told(peer)
+            told = WatchRecorder(peer)
             _, link = await call(peer)
-            link.write(http("200 OK", message(7, True, LINE)))
+            link.write(http("200 OK", message(7, True, ENTRY)))
             assert (await told.news.get() or pytest.fail())[0] is api.ListKind.FULL
             assert "after=7&" in (await call(peer))[0]
-            told.watch.close()
+            told.client.close()
 
     run(scenario)
 
 
-@pytest.mark.parametrize("answer", [http("503 Busy"), http("200 OK", message(7, False, LINE)), b""])
+@pytest.mark.parametrize("answer", [http("503 Busy"), http("200 OK", message(7, False, ENTRY)), b""])
 def test_no_whole_list_is_a_failed_call(answer: bytes) -> None:
     """Changes taken for the whole list would drop servers that are well; the list held goes on to hold."""
 
     async def scenario() -> None:
         async with Peer() as peer:
-            told = Told(peer)
+            told = WatchRecorder(peer)
             _, link = await call(peer)
             link.write(http("200 OK", message(7, False)))
             first, link = await call(peer)
@@ -380,9 +380,9 @@
             link.write(answer)
             link.close()
             assert await told.news.get() is None
-            told.watch.subscribe()
+            told.client.subscribe()
             assert "after=41&" in (await call(peer))[0]
-            told.watch.close()
+            told.client.close()
 
     run(scenario)
 
@@ -395,9 +395,9 @@
     path: Path, discovery: str, known: dict[str, Any], **changes: Any
 ) -> AsyncIterator[asyncio.subprocess.Process]:
     """A process of its own, ended by its id."""
-    config = {**GOOD, "listen": "127.0.0.1:0", "discovery": discovery, "known": known}
+    config = {**VALID_CONFIG, "listen": "127.0.0.1:0", "discovery": discovery, "known": known}
     config["settings"] = {**CONF, **changes}
-    process = await launched(path, config)
+    process = await launch(path, config)
     try:
         yield process
     finally:
@@ -407,7 +407,7 @@
 
 
 def servers(count: int) -> list[dict[str, Any]]:
-    return [{**LINE, "name": f"s-{i}", "type": "std", "since_ms": 0} for i in range(count)]
+    return [{**ENTRY, "name": f"s-{i}", "type": "std", "since_ms": 0} for i in range(count)]
 
 
 @pytest.mark.parametrize("mode", ["subscribe", "automatic"])
@@ -418,7 +418,7 @@
             discovery = spelled(down.getsockname())
             empty = {"index": 0, "snapshot": True, "endpoints": []}
             async with started(tmp_path / "c.json", discovery, empty, membershipMode=mode) as process:
-                client = Link(*await asyncio.open_connection(*await listening(process.stderr)))
+                client = Link(*await asyncio.open_connection(*await listening_address(process.stderr)))
                 assert process.stderr is not None
                 while b"out of reach, 3 in a row" not in await process.stderr.readline():
                     client.write(command("PING"))
@@ -447,7 +447,7 @@
             began = time.monotonic()
             discovery = spelled(down.getsockname())
             async with started(tmp_path / "c.json", discovery, old, siblings=230, me=229) as process:
-                await ready(parse_address(spelled(await listening(process.stderr))))
+                await connect_ready(parse_address(spelled(await listening_address(process.stderr))))
                 assert time.monotonic() - began < 6.0
 
     run(scenario)
