--- a/brackenwalk/net/host.py
+++ b/brackenwalk/net/host.py
@@ -1,6 +1,7 @@
-"""Hosts the decision module: its clock and timers, and the table of requests and attempts.
+"""Runs the decision module in an event loop: its clock, its timers, and the table of requests and attempts.
 
-Turns what happens on sockets into events, carries out the actions in order, and decides nothing.
+Turns socket events into events of the module and carries out the module's actions in order. Makes no
+decisions of its own.
 """
 
 from __future__ import annotations
@@ -18,59 +19,61 @@
 from brackenwalk.net.pool import Exchange, Pool
 from brackenwalk.policy import Router
 
-# before the client's deadline, which counts from its send: measured, the way takes 1.3 ms at most in each
-# direction and this process 1.4 ms at the 99th percentile; the rest is for a core that others keep busy
+# Time by which a request's deadline here precedes the client's, which counts from when the client sends.
+# Measured: the network takes at most 1.3 ms in each direction, this process 1.4 ms at the 99th percentile.
+# The rest covers a core that other processes keep busy.
 DEADLINE_MARGIN_S = 0.02
-FAILED = b"-ERR failed\r\n"
+ERR_FAILED = b"-ERR failed\r\n"
 log = logging.getLogger(__name__)
 
 
 class Clock:
-    """Unix time, read once; from then on it never jumps."""
+    """Unix time, read once at the start and advanced by the monotonic clock, so that it never jumps."""
 
     def __init__(self) -> None:
         self.offset = time.time() - time.monotonic()
 
     def now(self) -> float:
+        """Returns the Unix time in seconds."""
         return self.offset + time.monotonic()
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One send of a request that has had no outcome yet."""
+    """One send of a request, while it is in flight."""
 
     number: int
     sent_at: float
-    to: Member | None = None  # as listed then
+    member: Member | None = None  # the server as it was listed at the time of the send
     exchange: Exchange | None = None
     timer: asyncio.TimerHandle | None = None
 
 
 @dataclass(slots=True, eq=False)
 class TrackedRequest:
-    """A request, kept until its deadline has passed and nothing of it is out."""
+    """A request in the table, which stays there until it is closed and its deadline has passed."""
 
     command: Command
     deadline: float
-    answer: Callable[[bytes], None]
-    check_client: Callable[[], object]  # notices a client that has gone
-    attempt_count: int = 0  # attempts, whatever became of them
-    closed: bool = False  # answered, or its client is gone
-    overdue: bool = False
-    timer: asyncio.TimerHandle | None = None  # at the deadline
-    attempts: dict[int, Attempt] = field(default_factory=dict)
+    respond: Callable[[bytes], None]
+    check_client: Callable[[], object]  # detects a client that has disconnected
+    attempt_count: int = 0  # attempts started, including finished ones
+    closed: bool = False  # answered, or its client has disconnected
+    deadline_passed: bool = False
+    timer: asyncio.TimerHandle | None = None  # fires at the deadline
+    attempts: dict[int, Attempt] = field(default_factory=dict)  # in flight, by number
 
 
 @dataclass(slots=True, frozen=True)
 class Member:
-    """A cache server or origin of this router's own list."""
+    """A cache server or origin of the router's current server list."""
 
     entry: api.ServerEntry
     address: str
 
 
 class Host:
-    """One router and what it has going on."""
+    """One router: the decision module with its requests, attempts and server list."""
 
     def __init__(
         self, settings: api.Settings, seed: int, servers: Pool, origin: Pool, subscribe: Callable[[], None]
@@ -79,17 +82,17 @@
         self.servers = servers
         self.origin = origin
         self.subscribe = subscribe
-        self.broadcast: Callable[[bytes], None] = lambda content: None  # until there is a socket for it
+        self.broadcast: Callable[[bytes], None] = lambda content: None  # until the peer socket is open
         self.clock = Clock()
         self.router = Router(settings, seed, self.clock.now())
         self.members: dict[str, Member] = {}
         self.requests: dict[str, TrackedRequest] = {}
-        self.end = math.inf  # the deadline of all
+        self.shutdown_deadline = math.inf  # upper bound of the deadlines of all requests
         self.events: deque[api.Event] = deque()
         self.handling = False
 
     def post(self, event: api.Event) -> None:
-        """Hand an event to the module; one that comes while actions are carried out waits its turn."""
+        """Passes an event to the module. Events posted while actions are carried out are queued."""
         self.events.append(event)
         if self.handling:
             return
@@ -102,20 +105,20 @@
             self.handling = False
 
     def _decide(self, event: api.Event) -> list[api.Action]:
-        """The module's actions; after a fault in it, those that it had decided on by then."""
+        """Returns the module's actions or, if the module raises, those that it had decided on by then."""
         try:
             return self.router.handle(self.clock.now(), event)
         except Exception:
-            # guards all other requests: events that wait behind this one are theirs
-            log.exception("module fault on %s: report it with this trace", type(event).__name__)
+            # Guards the other requests: the events queued behind this one belong to them.
+            log.exception("decision module failed on %s: please report this trace", type(event).__name__)
             return list(self.router.out)
 
     def _execute_isolated(self, action: api.Action) -> None:
-        """Carry out an action so that a fault costs no other: the answer of another may come next."""
+        """Carries out an action. Logs errors, so that the actions behind it, maybe responses, still run."""
         try:
             self._execute(action)
         except Exception:
-            log.exception("fault on %s: report it with this trace", type(action).__name__)
+            log.exception("action %s failed: please report this trace", type(action).__name__)
 
     def _execute(self, action: api.Action) -> None:
         match action:
@@ -124,7 +127,7 @@
             case api.Refuse():
                 self._refuse(action)
             case api.Fail():
-                self._respond(action.request, FAILED)
+                self._respond(action.request, ERR_FAILED)
             case api.Cancel():
                 self._cancel(action)
             case api.Close():
@@ -140,20 +143,22 @@
             case api.Log():
                 log.info("%s", action.text)
 
-    # The list
+    # Server list
 
     def ready(self) -> bool:
-        """Whether any cache server may be sent to."""
+        """Returns whether the list has a cache server that accepts new requests."""
         return any(m.entry.ready and not self._is_origin(m) for m in self.members.values())
 
     def on_list_failed(self) -> None:
+        """Reports to the module that a call to discovery failed."""
         self.post(api.ServerList(api.ListKind.FAILED))
 
     def on_discovery_moved(self) -> None:
+        """Reports to the module that the address of discovery has changed."""
         self.post(api.ServerList(api.ListKind.MOVED))
 
     def on_server_list(self, kind: api.ListKind, members: list[Member]) -> None:
-        """Take a list or its changes."""
+        """Applies a full list or changes, and aborts unsent attempts at servers that have changed."""
         if kind is not api.ListKind.DELTA:
             self.members = {}
         for member in members:
@@ -163,15 +168,20 @@
             else:
                 self.members[name] = member
         self.post(api.ServerList(kind, tuple(m.entry for m in members)))
-        for taken in list(self.requests.values()):
-            for attempt in list(taken.attempts.values()):
-                # guards drains: a connection that comes up late would still carry what nobody may send by now
-                if attempt.exchange is not None and attempt.exchange.unsent() and self._outdated(attempt):
-                    self._give_up(taken, attempt, api.Status.MOOT)
-
-    def _outdated(self, attempt: Attempt) -> bool:
-        """Whether the list tells of its server that it drains, is gone or has started again."""
-        then = attempt.to
+        for tracked in list(self.requests.values()):
+            for attempt in list(tracked.attempts.values()):
+                # Guards drains: a connection that is still being dialled would send its request once it is
+                # up, after the time from which nothing may go to the server any more.
+                if (
+                    attempt.exchange is not None
+                    and attempt.exchange.unsent()
+                    and self._server_changed(attempt)
+                ):
+                    self._abort_attempt(tracked, attempt, api.Status.MOOT)
+
+    def _server_changed(self, attempt: Attempt) -> bool:
+        """Returns whether the attempt's server now drains, has left the list, has moved or has restarted."""
+        then = attempt.member
         now = self.members.get(then.entry.server) if then is not None else None
         if then is None or now is None or not now.entry.ready:
             return True
@@ -184,6 +194,7 @@
         return self.origin if self._is_origin(self.members[server]) else self.servers
 
     def on_peer_message(self, content: bytes) -> None:
+        """Passes a peer's message to the module."""
         self.post(api.PeerMessage(content))
 
     # Requests
@@ -191,24 +202,27 @@
     def submit(
         self,
         command: Command,
-        answer: Callable[[bytes], None],
+        respond: Callable[[bytes], None],
         check_client: Callable[[], object] = lambda: None,
     ) -> str | None:
-        """Take a request that is owed one `answer`; None when one with its id is still known.
+        """Accepts a request and calls `respond` once with its response, unless the client disconnects first.
 
-        Before each attempt `check_client` tells by `on_client_gone` of a client's end that has just come.
+        Returns the request's id, or None if a request with this id is still in the table. Calls
+        `check_client` before each attempt; it calls `on_client_gone` if the client has just disconnected.
         """
-        name = command.request_id.decode()
-        # guards the table: two requests under one id would get each other's answers
-        if name in self.requests:
+        request_id = command.request_id.decode()
+        # Guards the table: two requests under one id would get each other's responses.
+        if request_id in self.requests:
             return None
         now = self.clock.now()
-        time_left = max(0.0, min(command.deadline_ms / 1000 - DEADLINE_MARGIN_S, self.end - now))
-        taken = self.requests[name] = TrackedRequest(command, now + time_left, answer, check_client)
-        taken.timer = asyncio.get_running_loop().call_later(time_left, self._overdue, name)
+        time_left = max(
+            0.0, min(command.deadline_ms / 1000 - DEADLINE_MARGIN_S, self.shutdown_deadline - now)
+        )
+        tracked = self.requests[request_id] = TrackedRequest(command, now + time_left, respond, check_client)
+        tracked.timer = asyncio.get_running_loop().call_later(time_left, self._on_deadline, request_id)
         hint = command.info.get("h", "")
         request = api.Request(
-            name,
+            request_id,
             command.info.get("c", ""),
             time_left,
             command.key.decode("latin-1"),
@@ -216,115 +230,120 @@
             command.write,
         )
         self.post(request)
-        return name
+        return request_id
 
-    def on_client_gone(self, name: str) -> None:
-        """The client of a request closed its connection."""
-        taken = self.requests.get(name)
-        if taken is not None and not taken.closed:
-            self._settle(taken, name)
-            self.post(api.ClientGone(name))
+    def on_client_gone(self, request_id: str) -> None:
+        """Closes a request whose client has disconnected."""
+        tracked = self.requests.get(request_id)
+        if tracked is not None and not tracked.closed:
+            self._mark_closed(tracked, request_id)
+            self.post(api.ClientGone(request_id))
 
     def begin_shutdown(self, time_left: float) -> None:
-        """This process ends by then: nobody would answer what is still open."""
-        self.end = self.clock.now() + time_left
-        for name, taken in self.requests.items():
-            if taken.deadline > self.end and taken.timer is not None:
-                taken.deadline = self.end
-                taken.timer.cancel()
-                taken.timer = asyncio.get_running_loop().call_later(time_left, self._overdue, name)
+        """Limits all deadlines to `time_left` seconds from now, as no response can be sent after exit."""
+        self.shutdown_deadline = self.clock.now() + time_left
+        for request_id, tracked in self.requests.items():
+            if tracked.deadline > self.shutdown_deadline and tracked.timer is not None:
+                tracked.deadline = self.shutdown_deadline
+                tracked.timer.cancel()
+                tracked.timer = asyncio.get_running_loop().call_later(
+                    time_left, self._on_deadline, request_id
+                )
         self.post(api.Ending(time_left))
 
-    def _overdue(self, name: str) -> None:
-        """The deadline: attempts still out time out, and an ended request is forgotten."""
-        taken = self.requests[name]
-        taken.overdue = True
-        if taken.closed:
-            del self.requests[name]
-        for attempt in list(taken.attempts.values()):  # the module may answer, and so end it, on the way
-            self._time_out(taken, attempt)
-        if not taken.closed:
-            # guards the client against a fault of ours: it would wait for an answer that nobody owes any more
-            log.error("request %s: no answer by its deadline, failed by the host", name)
-            self._respond(name, FAILED)
-            self.post(api.ClientGone(name))
-
-    def _respond(self, name: str, answer: bytes) -> None:
-        """Give a request its one answer."""
-        taken = self.requests.get(name)
-        if taken is not None and not taken.closed:
-            self._settle(taken, name)
-            taken.answer(answer)
-
-    def _settle(self, taken: TrackedRequest, name: str) -> None:
-        """Nothing is owed any more; kept until the deadline for what is still to come of it."""
-        taken.closed = True
-        for attempt in list(taken.attempts.values()):
-            # what has not gone out yet needs no cancelling at any server, and nobody waits for it
+    def _on_deadline(self, request_id: str) -> None:
+        """Times out the attempts in flight, and drops a closed request from the table."""
+        tracked = self.requests[request_id]
+        tracked.deadline_passed = True
+        if tracked.closed:
+            del self.requests[request_id]
+        for attempt in list(tracked.attempts.values()):  # the module may respond, and so close it, in between
+            self._time_out(tracked, attempt)
+        if not tracked.closed:
+            # Guards the client against a fault of this router: after the deadline no event is left that would
+            # lead to a response, and the client would wait for good.
+            log.error("request %s: the decision module gave no response by the deadline; failed", request_id)
+            self._respond(request_id, ERR_FAILED)
+            self.post(api.ClientGone(request_id))
+
+    def _respond(self, request_id: str, response: bytes) -> None:
+        """Sends the response to a request, unless the request is closed."""
+        tracked = self.requests.get(request_id)
+        if tracked is not None and not tracked.closed:
+            self._mark_closed(tracked, request_id)
+            tracked.respond(response)
+
+    def _mark_closed(self, tracked: TrackedRequest, request_id: str) -> None:
+        """Closes a request, which stays in the table until its deadline for outcomes still to come."""
+        tracked.closed = True
+        for attempt in list(tracked.attempts.values()):
+            # An unsent attempt needs no cancelling at its server, and nobody waits for its result.
             if attempt.exchange is not None and attempt.exchange.unsent():
-                self._give_up(taken, attempt, api.Status.MOOT)
-        if taken.overdue:
-            del self.requests[name]
+                self._abort_attempt(tracked, attempt, api.Status.MOOT)
+        if tracked.deadline_passed:
+            del self.requests[request_id]
 
     def _refuse(self, action: api.Refuse) -> None:
-        """A refusal at once, that tells the client when to come back if the module has advice."""
+        """Responds with a refusal, and with the time in ms after which to retry if the module gives one."""
         pause = math.ceil(action.come_back * 1000)
         self._respond(action.request, b"-BUSY %d\r\n" % pause if pause else b"-BUSY\r\n")
 
     # Attempts
 
     def _send(self, action: api.Send) -> None:
-        taken = self.requests.get(action.request)
-        if taken is None:
-            log.error("a send for %s, which is long over", action.request)
+        tracked = self.requests.get(action.request)
+        if tracked is None:
+            log.error("module sends request %s, which has been dropped after its deadline", action.request)
             return
         now = self.clock.now()
-        attempt = Attempt(taken.attempt_count, now)
-        taken.attempt_count += 1
-        taken.attempts[attempt.number] = attempt
-        if not taken.closed:  # guards against work for nobody: events of one turn come in any order
-            taken.check_client()
-        over = taken.closed or taken.overdue or attempt.number >= self.settings.max_attempts
-        if over or action.server not in self.members:
-            self._finish(taken, attempt, api.Status.MOOT if over else api.Status.CONNECT_FAILED)
+        attempt = Attempt(tracked.attempt_count, now)
+        tracked.attempt_count += 1
+        tracked.attempts[attempt.number] = attempt
+        # Guards against attempts for a client that has left: its disconnect and the event that leads to this
+        # send may come in one turn of the event loop, in any order.
+        if not tracked.closed:
+            tracked.check_client()
+        useless = tracked.closed or tracked.deadline_passed or attempt.number >= self.settings.max_attempts
+        if useless or action.server not in self.members:
+            self._finish(tracked, attempt, api.Status.MOOT if useless else api.Status.CONNECT_FAILED)
             return
-        time_left = taken.deadline - now
+        time_left = tracked.deadline - now
         if action.timeout is not None and action.timeout < time_left:
             time_left = action.timeout
             loop = asyncio.get_running_loop()
-            attempt.timer = loop.call_later(time_left, self._time_out, taken, attempt)
+            attempt.timer = loop.call_later(time_left, self._time_out, tracked, attempt)
 
         def on_done(status: api.Status, value: bytes) -> None:
-            self._finish(taken, attempt, status, value)
+            self._finish(tracked, attempt, status, value)
 
-        attempt.to = self.members[action.server]
-        pool, address = self._pool(action.server), attempt.to.address
-        attempt.exchange = pool.start(address, taken.command, time_left, on_done, taken.check_client)
+        attempt.member = self.members[action.server]
+        pool, address = self._pool(action.server), attempt.member.address
+        attempt.exchange = pool.start(address, tracked.command, time_left, on_done, tracked.check_client)
 
     def _cancel(self, action: api.Cancel) -> None:
-        taken = self.requests.get(action.request)
-        attempt = taken.attempts.get(action.attempt) if taken is not None else None
-        if taken is not None and attempt is not None:
-            self._give_up(taken, attempt, api.Status.CANCELLED)
+        tracked = self.requests.get(action.request)
+        attempt = tracked.attempts.get(action.attempt) if tracked is not None else None
+        if tracked is not None and attempt is not None:
+            self._abort_attempt(tracked, attempt, api.Status.CANCELLED)
 
-    def _time_out(self, taken: TrackedRequest, attempt: Attempt) -> None:
-        self._give_up(taken, attempt, api.Status.TIMEOUT)
+    def _time_out(self, tracked: TrackedRequest, attempt: Attempt) -> None:
+        self._abort_attempt(tracked, attempt, api.Status.TIMEOUT)
 
-    def _give_up(self, taken: TrackedRequest, attempt: Attempt, status: api.Status) -> None:
+    def _abort_attempt(self, tracked: TrackedRequest, attempt: Attempt, status: api.Status) -> None:
         if attempt.exchange is not None:
             attempt.exchange.abandon()
-        self._finish(taken, attempt, status)
+        self._finish(tracked, attempt, status)
 
     def _finish(
-        self, taken: TrackedRequest, attempt: Attempt, status: api.Status, value: bytes = b""
+        self, tracked: TrackedRequest, attempt: Attempt, status: api.Status, value: bytes = b""
     ) -> None:
-        """Give an attempt its one outcome; the first that served answers the client."""
-        if taken.attempts.pop(attempt.number, None) is None:
+        """Reports the outcome of an attempt once. The first successful attempt answers the client."""
+        if tracked.attempts.pop(attempt.number, None) is None:
             return
         if attempt.timer is not None:
             attempt.timer.cancel()
-        name = taken.command.request_id.decode()
+        request_id = tracked.command.request_id.decode()
         if status is api.Status.OK:
-            self._respond(name, b"$%d\r\n%b\r\n" % (len(value), value))
+            self._respond(request_id, b"$%d\r\n%b\r\n" % (len(value), value))
         latency = self.clock.now() - attempt.sent_at
-        self.post(api.Outcome(name, attempt.number, status, taken.closed, latency))
+        self.post(api.Outcome(request_id, attempt.number, status, tracked.closed, latency))
