--- a/tests/test_grammar_http.py
+++ b/tests/test_grammar_http.py
@@ -606,6 +606,6 @@
             peer.close()
             assert await news.get() == (None if reset else api.ListKind.FULL)
             watch.close()
-            assert watch.watch is None or await asyncio.wait([watch.watch])
+            assert watch.watch_task is None or await asyncio.wait([watch.watch_task])
 
     run(scenario)
