--- a/brackenwalk/net/clients.py
+++ b/brackenwalk/net/clients.py
@@ -1,4 +1,4 @@
-"""The connections of clients, which speak RESP2."""
+"""Client connections, which speak RESP2: pipelined commands, ordered responses and a lingering close."""
 
 from __future__ import annotations
 
@@ -13,133 +13,139 @@
 
 from brackenwalk.net.command import MAX_INFO_BYTES, MAX_KEY_BYTES, MAX_VALUE_BYTES, CommandError, read_command
 from brackenwalk.net.host import Host
-from brackenwalk.net.pool import ended, readable
+from brackenwalk.net.pool import peer_closed, readable
 from brackenwalk.net.resp import INCOMPLETE, Reader
 
-MAX_COMMAND_BYTES = (
-    MAX_VALUE_BYTES + MAX_KEY_BYTES + MAX_INFO_BYTES + 4096
-)  # bytes held for a command that is not whole
-MAX_PIPELINED = 32  # commands of one connection that wait for their answers
-# commands of one connection that are read in one turn of the event loop: a client that sends hundreds at once
-# would hold up the answers to all others, and what is due in that turn is late by all of it
+# Limit on the bytes of an incomplete command.
+MAX_COMMAND_BYTES = MAX_VALUE_BYTES + MAX_KEY_BYTES + MAX_INFO_BYTES + 4096
+MAX_PIPELINED = 32  # commands of one connection that wait for their responses
+# Limit on the commands that one connection may process in one turn of the event loop. Without it a client
+# that sends hundreds at once delays the responses to all others, and every timer that is due in that turn.
 MAX_COMMANDS_PER_TURN = 32
-PARSE_CHUNK_BYTES = 4096  # bytes that are parsed at once, for the same reason
-FIRST_COMMAND_TIMEOUT_S = 2.5  # seconds for a first whole command: an error line or a close is owed within 3
-LINGER_S = 1.0  # seconds for which a client may take its time to end a connection that the router has ended
-LINGER_UNSENT = 10.0  # the same while it has not taken all that it was answered
-LINGER_READ = 1 << 20  # bytes that are read and dropped meanwhile
-STALL_TIMEOUT_S = 2.0  # seconds without a byte after which half a command does not hold a descriptor any more
+PARSE_CHUNK_BYTES = 4096  # limit on the bytes parsed at once, for the same reason
+FIRST_COMMAND_TIMEOUT_S = 2.5  # for a first valid command: an error line or a close is due within 3 s
+LINGER_S = 1.0  # time for a client to close a connection that the router has half-closed
+LINGER_UNSENT_S = 10.0  # the same while the client has not yet read all its responses
+LINGER_READ_BYTES = 1 << 20  # limit on the bytes read and discarded while lingering
+STALL_TIMEOUT_S = 2.0  # time without a byte after which an incomplete command no longer keeps its connection
 ERR_COMMAND_TIMEOUT = "-ERR no command came in time"
 log = logging.getLogger(__name__)
 
 
 class ConnectionRegistry(Protocol):
-    """Keeps the connections of all clients; a connection tells it what becomes of it."""
+    """Holds the connections of all clients, which report changes of their state to it."""
 
     connections: dict[ClientConnection, None]
     lingering: dict[ClientConnection, None]
 
-    def rest(self, connection: ClientConnection) -> None:
-        """Note that nothing is owed on a connection any more."""
+    def mark_idle(self, connection: ClientConnection) -> None:
+        """Records that a connection has no response outstanding."""
 
-    def linger(self, connection: ClientConnection) -> None:
-        """Note that the router has ended a connection, and the client has not."""
+    def start_lingering(self, connection: ClientConnection) -> None:
+        """Records that the router has half-closed a connection and the client has not closed it yet."""
 
-    def watch(self, connection: ClientConnection) -> None:
-        """Look for the end of a client that is not read from."""
+    def watch_for_disconnect(self, connection: ClientConnection) -> None:
+        """Starts polling for a disconnect of a client while reading from it is paused."""
 
-    def forget(self, connection: ClientConnection) -> None:
-        """Note that a connection is closed."""
+    def remove(self, connection: ClientConnection) -> None:
+        """Removes a closed connection."""
 
 
 @dataclass(slots=True, eq=False)
 class Slot:
-    """A command's place in the order of answers."""
+    """A command's place in the order of responses."""
 
-    request: str | None = None
-    answer: bytes | None = None
+    request_id: str | None = None
+    response: bytes | None = None
 
 
 class ClientConnection(asyncio.Protocol):
-    """One client's connection."""
+    """One client's connection: parses its commands and sends the responses in the order of the commands."""
 
-    def __init__(self, host: Host, listener: ConnectionRegistry) -> None:
+    def __init__(self, host: Host, registry: ConnectionRegistry) -> None:
         self.host = host
-        self.listener = listener
-        self.reader = Reader(element_types=b":-$")  # a simple string as a part would pass for a bulk string
-        self.incomplete_bytes = 0  # bytes since the last whole command
-        self.unparsed = b""  # received and not handed to the parser yet
-        self.next_turn: asyncio.Handle | None = None  # in which commands that were held back are taken
-        self.received_at = 0.0  # when the last bytes came
+        self.registry = registry
+        # Without simple strings: hiredis returns one as bytes, indistinguishable from a bulk string.
+        self.reader = Reader(element_types=b":-$")
+        self.incomplete_bytes = 0  # received by the parser since the last complete command
+        self.unparsed = b""  # received, but not passed to the parser yet
+        self.resume_handle: asyncio.Handle | None = None  # scheduled call that processes deferred commands
+        self.last_received_at = 0.0  # loop time
         self.slots: deque[Slot] = deque()
         self.reading = True
         self.writable = True
-        self.closing = False  # no command is taken any more
-        self.lingered: asyncio.TimerHandle | None = None
-        self.dropped = 0  # bytes that came after the router's end
+        self.closing = False  # no further commands are accepted
+        self.linger_timer: asyncio.TimerHandle | None = None
+        self.discarded_bytes = 0  # received after the router's half-close
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Registers the connection and starts the timer for its first command."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
-        self.listener.connections[self] = None
+        self.registry.connections[self] = None
         loop = asyncio.get_running_loop()
-        self.patience = loop.call_later(FIRST_COMMAND_TIMEOUT_S, self.end_with, ERR_COMMAND_TIMEOUT)
+        self.first_command_timer = loop.call_later(
+            FIRST_COMMAND_TIMEOUT_S, self.close_with_error, ERR_COMMAND_TIMEOUT
+        )
 
     def data_received(self, data: bytes) -> None:
-        if self in self.listener.lingering:  # too late to be taken: the client sees our end before any answer
-            self.dropped += len(data)
-            if self.dropped > LINGER_READ:
-                self.cut()
+        """Buffers and processes commands; discards what arrives while the connection closes."""
+        # Discards commands that cross the half-close: the client sees the end of the stream, not a response.
+        if self in self.registry.lingering:
+            self.discarded_bytes += len(data)
+            if self.discarded_bytes > LINGER_READ_BYTES:
+                self.abort()
             return
-        if self.check_client():  # what came just before the end is for nobody any more
+        if self.check_client():  # nobody waits for responses to commands sent just before a disconnect
             return
-        if self.closing:  # read on only to see the client's end, and kept nowhere
+        if self.closing:  # still reads, but only to detect the client's disconnect
             return
         self.unparsed += data
-        self.received_at = asyncio.get_running_loop().time()
-        self._take_commands()
+        self.last_received_at = asyncio.get_running_loop().time()
+        self._process_commands()
 
-    def _take_commands(self) -> None:
-        """Take the commands that have come, as many as one turn of the loop may spend on one client."""
+    def _process_commands(self) -> None:
+        """Processes received commands, as many as one turn of the event loop allows one client."""
         try:
-            left = self._take_some()
+            more = self._process_batch()
         except Exception:
-            # guards the router: a fault here ends this connection alone, and its requests are settled
-            log.exception("connection of a client")
+            # Guards the router: an error here ends this connection alone, and its requests are closed.
+            log.exception("client connection failed and is closed: please report this trace")
             self.transport.abort()
             return
-        if left:
-            self._go_on_soon()
-        self._read_or_not()
+        if more:
+            self._schedule_resume()
+        self._update_reading()
 
-    def _take_some(self) -> bool:
-        """Take a turn's commands; answers with whether more may be there that could be taken now."""
+    def _process_batch(self) -> bool:
+        """Processes one turn's commands. Returns whether more may be waiting that could be processed now."""
         for _ in range(MAX_COMMANDS_PER_TURN):
-            # a closing connection takes nothing more: nobody would hear that its client is gone
-            if not self._wanted() or self.transport.is_closing():
+            # A closing connection accepts nothing more: its client's disconnect would not be noticed again,
+            # and the request would be processed until its deadline.
+            if not self._accepts_commands() or self.transport.is_closing():
                 return False
             try:
                 parts = self._next_command()
             except (hiredis.ProtocolError, MemoryError) as e:
-                self.end_with(f"-ERR {e}")
+                self.close_with_error(f"-ERR {e}")
                 return False
             if parts is INCOMPLETE:
                 if self.incomplete_bytes > MAX_COMMAND_BYTES:
-                    self.end_with("-ERR command is too long")
+                    self.close_with_error("-ERR command is too long")
                 return False
             self._process_command(parts)
         return True
 
     def _next_command(self) -> object:
-        """The next whole command's parts, or INCOMPLETE; hands the parser no more bytes than that takes."""
+        """Returns the next command's parts, or INCOMPLETE. Gives the parser no more chunks than needed."""
         while (
             (parts := self.reader.gets()) is INCOMPLETE
             and self.unparsed
             and self.incomplete_bytes <= MAX_COMMAND_BYTES
         ):
-            piece, self.unparsed = self.unparsed[:PARSE_CHUNK_BYTES], self.unparsed[PARSE_CHUNK_BYTES:]
-            self.incomplete_bytes += len(piece)
-            self.reader.feed(piece)
+            chunk, self.unparsed = self.unparsed[:PARSE_CHUNK_BYTES], self.unparsed[PARSE_CHUNK_BYTES:]
+            self.incomplete_bytes += len(chunk)
+            self.reader.feed(chunk)
         if parts is not INCOMPLETE:
             self.incomplete_bytes = self.reader.held()
         return parts
@@ -147,156 +153,167 @@
     def _process_command(self, parts: object) -> None:
         slot = Slot()
         self.slots.append(slot)
-        answer = partial(self._answer, slot)
+        respond = partial(self._respond, slot)
         if isinstance(parts, list) and len(parts) == 1 and parts[0] in (b"PING", b"ping"):
-            self.patience.cancel()
-            answer(b"+PONG\r\n" if self.host.ready() else b"-ERR no cache server is known\r\n")
+            self.first_command_timer.cancel()
+            respond(b"+PONG\r\n" if self.host.ready() else b"-ERR no cache server is known\r\n")
             return
         try:
             command = read_command(parts)
         except CommandError as e:
-            answer(b"-ERR %b\r\n" % str(e).encode("ascii", "replace"))
+            respond(b"-ERR %b\r\n" % str(e).encode("ascii", "replace"))
             return
-        self.patience.cancel()
-        slot.request = command.request_id.decode()
-        if self.host.submit(command, answer, self.check_client) is None:
-            slot.request = None
-            answer(b"-ERR this request id is in use\r\n")
-
-    def _answer(self, slot: Slot, answer: bytes) -> None:
-        slot.answer = answer
-        while self.slots and self.slots[0].answer is not None:
-            self.transport.write(self.slots.popleft().answer or b"")
+        self.first_command_timer.cancel()
+        slot.request_id = command.request_id.decode()
+        if self.host.submit(command, respond, self.check_client) is None:
+            slot.request_id = None
+            respond(b"-ERR this request id is in use\r\n")
+
+    def _respond(self, slot: Slot, response: bytes) -> None:
+        slot.response = response
+        while self.slots and self.slots[0].response is not None:
+            self.transport.write(self.slots.popleft().response or b"")
         if not self.slots:
-            self.listener.rest(self)
+            self.registry.mark_idle(self)
         if self.closing and not self.slots:
-            self.shut()
+            self.close()
         elif not self.reading:
-            self._go_on_soon()
+            self._schedule_resume()
 
-    def end_with(self, error: str) -> None:
-        """Answer with an error and close: where the next command begins can't be told any more."""
+    def close_with_error(self, error: str) -> None:
+        """Sends an error line and closes the connection, as the start of the next command is unknown."""
         self.closing = True
         self.unparsed = b""
         slot = Slot()
         self.slots.append(slot)
-        self._answer(slot, error.encode("ascii", "replace").replace(b"\r\n", b" ") + b"\r\n")
+        self._respond(slot, error.encode("ascii", "replace").replace(b"\r\n", b" ") + b"\r\n")
 
-    def _wanted(self) -> bool:
-        """Whether one more command may be taken."""
+    def _accepts_commands(self) -> bool:
+        """Returns whether one more command may be processed now."""
         return not self.closing and self.writable and len(self.slots) < MAX_PIPELINED
 
-    def _read_or_not(self) -> None:
-        """Bounds what a client can make the router hold: no reading while too much is unanswered."""
-        if self in self.listener.lingering:
+    def _update_reading(self) -> None:
+        """Pauses reading while too many responses are outstanding, to bound the memory a client can use."""
+        if self in self.registry.lingering:
             return
-        wanted = self._wanted() and self.next_turn is None
+        wanted = self._accepts_commands() and self.resume_handle is None
         if wanted != self.reading and not self.transport.is_closing():
             self.reading = wanted
             (self.transport.resume_reading if wanted else self.transport.pause_reading)()
             if not wanted:
-                self.listener.watch(self)
+                self.registry.watch_for_disconnect(self)
 
     def check_client(self) -> bool:
-        """Notice the client's end if it has come, whether or not the event loop has got to it."""
-        gone = not self.transport.is_closing() and ended(self.transport)
-        if gone:
-            self.leave()
-        return gone
-
-    def _go_on_soon(self) -> None:
-        """Take what was held back in the next turn of the loop, once for all that ask for it in this one."""
-        if self.next_turn is None:
-            self.next_turn = asyncio.get_running_loop().call_soon(self._go_on)
-
-    def _go_on(self) -> None:
-        """Take commands that were held back, which may have outlasted their client."""
-        self.next_turn = None
+        """Detects a disconnect of the client, even one that the event loop has not processed yet.
+
+        Returns whether the client has disconnected.
+        """
+        disconnected = not self.transport.is_closing() and peer_closed(self.transport)
+        if disconnected:
+            self.on_disconnect()
+        return disconnected
+
+    def _schedule_resume(self) -> None:
+        """Schedules deferred commands for the next turn of the event loop, once however often called."""
+        if self.resume_handle is None:
+            self.resume_handle = asyncio.get_running_loop().call_soon(self._resume)
+
+    def _resume(self) -> None:
+        """Processes deferred commands, unless their client has disconnected in the meantime."""
+        self.resume_handle = None
         if not self.check_client():
-            self._take_commands()
+            self._process_commands()
 
     def pause_writing(self) -> None:
+        """Stops accepting commands while the client does not read its responses."""
         self.writable = False
-        self._read_or_not()
+        self._update_reading()
 
     def resume_writing(self) -> None:
+        """Accepts commands again, deferred ones first."""
         self.writable = True
-        self._go_on_soon()
+        self._schedule_resume()
 
     def is_idle(self) -> bool:
-        """Whether nothing is owed, begun or unread."""
+        """Returns whether no response is outstanding and no byte of a further command has arrived."""
         if self.slots or self.incomplete_bytes or self.unparsed or self.transport.is_closing():
             return False
         return not readable(self.transport)
 
-    def stalled(self) -> bool:
-        """Whether all that holds it is half a command that does not go on."""
+    def is_stalled(self) -> bool:
+        """Returns whether it waits only for an incomplete command, of which no more bytes are coming."""
         if (
             self.slots
             or not self.incomplete_bytes
             or self.unparsed
-            or self.unsent()
+            or self.has_unsent()
             or self.transport.is_closing()
         ):
             return False
-        silence = asyncio.get_running_loop().time() - self.received_at
+        silence = asyncio.get_running_loop().time() - self.last_received_at
         return silence > STALL_TIMEOUT_S and not readable(self.transport)
 
-    def unsent(self) -> bool:
-        """Whether the client has not taken all its answers."""
+    def has_unsent(self) -> bool:
+        """Returns whether responses are still in the write buffer, as the client has not read them."""
         return self.transport.get_write_buffer_size() > 0
 
-    def shut(self) -> None:
-        """End our side once all is written, and drop what still comes until the client ends its own.
+    def close(self) -> None:
+        """Closes the connection with a linger: half-closes it once all is written, then discards input.
 
-        Closed over unread bytes, the connection would be reset, and the last answer could go with it.
+        Closing a socket with unread bytes makes the kernel send a reset, which can destroy the last response
+        before the client reads it.
         """
-        if self.transport.is_closing() or self in self.listener.lingering:
+        if self.transport.is_closing() or self in self.registry.lingering:
             return
         self.closing = True
-        self.patience.cancel()
+        self.first_command_timer.cancel()
         loop = asyncio.get_running_loop()
-        self.until, self.late = loop.time() + LINGER_UNSENT, self.unsent()
-        self.lingered = loop.call_later(LINGER_S, self._lingered)
-        self.listener.linger(self)
+        self.linger_deadline, self.had_unsent = loop.time() + LINGER_UNSENT_S, self.has_unsent()
+        self.linger_timer = loop.call_later(LINGER_S, self._on_linger_timeout)
+        self.registry.start_lingering(self)
         try:
             self.transport.write_eof()
-        except OSError:  # the client has reset it
-            self.cut()
+        except OSError:  # the client has reset the connection
+            self.abort()
         else:
             self.reading = True
             self.transport.resume_reading()
 
-    def _lingered(self) -> None:
+    def _on_linger_timeout(self) -> None:
         loop = asyncio.get_running_loop()
-        late, self.late = self.late, self.unsent()  # our end may have gone out only now
-        if (late or self.late) and loop.time() < self.until:
-            self.lingered = loop.call_later(LINGER_S, self._lingered)
+        had_unsent, self.had_unsent = (
+            self.had_unsent,
+            self.has_unsent(),
+        )  # the FIN may have been sent only now
+        if (had_unsent or self.had_unsent) and loop.time() < self.linger_deadline:
+            self.linger_timer = loop.call_later(LINGER_S, self._on_linger_timeout)
         else:
-            self.cut()
+            self.abort()
 
-    def cut(self) -> None:
-        """Close at once."""
+    def abort(self) -> None:
+        """Closes the connection at once, discarding unsent responses."""
         self.transport.abort()
-        self.listener.forget(self)
+        self.registry.remove(self)
 
     def eof_received(self) -> None:
-        self.leave()
+        """Treats a half-close as a disconnect."""
+        self.on_disconnect()
 
-    def leave(self) -> None:
-        """The client has ended the connection, which would stay while bytes wait to be written."""
-        self.cut()
+    def on_disconnect(self) -> None:
+        """Aborts the connection after a disconnect; a plain close would wait for unsent responses."""
+        self.abort()
         self._abandon_requests()
 
     def _abandon_requests(self) -> None:
         slots, self.slots = self.slots, deque()
         for slot in slots:
-            if slot.answer is None and slot.request is not None:
-                self.host.on_client_gone(slot.request)
+            if slot.response is None and slot.request_id is not None:
+                self.host.on_client_gone(slot.request_id)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.listener.forget(self)
-        self.patience.cancel()
-        if self.lingered is not None:
-            self.lingered.cancel()
+        """Cancels the timers and reports the client's open requests as abandoned."""
+        self.registry.remove(self)
+        self.first_command_timer.cancel()
+        if self.linger_timer is not None:
+            self.linger_timer.cancel()
         self._abandon_requests()
--- a/brackenwalk/net/listener.py
+++ b/brackenwalk/net/listener.py
@@ -1,4 +1,4 @@
-"""Accepts clients within a budget of descriptors, and closes connections where room is short."""
+"""Accepts clients within a budget of file descriptors, and closes idle connections when it runs out."""
 
 from __future__ import annotations
 
@@ -12,19 +12,20 @@
 from brackenwalk.net.clients import ERR_COMMAND_TIMEOUT, ClientConnection
 from brackenwalk.net.host import Host
 
-# seconds between looks for the end of clients that are not read from: asyncio tells of none then, and 0.1 s
-# after it no attempt may begin; a look late by a turn of a busy loop has to be in time as well
+# Interval at which clients whose reading is paused are polled for a disconnect, which asyncio does not report
+# then. No attempt may begin later than 0.1 s after a disconnect, even when a busy turn of the event loop
+# delays the poll.
 DISCONNECT_POLL_S = 0.025
-SPARE = 8  # of so many descriptors for clients one is for those that linger
-ROOM_LOOK = 0.25  # seconds between looks for a connection that may go: nothing tells that one has stalled
-BACKLOG = 512
-ACCEPT_RETRY_S = 0.1  # after a failed accept, so that running out of descriptors does not spin
-SHED = 16  # descriptors given up at each sign that there are fewer than was told
+LINGER_RESERVE_DIVISOR = 8  # one in so many of the clients' descriptors is reserved for lingering connections
+STALL_POLL_S = 0.25  # interval of looking for a stalled connection to close, as no event reports a stall
+LISTEN_BACKLOG = 512
+ACCEPT_RETRY_S = 0.1  # pause after a failed accept, so that running out of descriptors causes no busy loop
+BUDGET_STEP = 16  # descriptors by which the budget shrinks each time that accept finds none left
 log = logging.getLogger(__name__)
 
 
-def all_ended(connections: list[ClientConnection]) -> list[ClientConnection]:
-    """Those that their clients have ended, in one call: looks are many."""
+def find_disconnected(connections: list[ClientConnection]) -> list[ClientConnection]:
+    """Returns those whose clients have disconnected, with one system call, as polls are frequent."""
     poll, known = select.poll(), {}
     for connection in connections:
         descriptor = connection.transport.get_extra_info("socket").fileno()
@@ -34,32 +35,32 @@
 
 
 class Listener:
-    """Accepts clients, within a budget of descriptors."""
+    """The listening socket and the open client connections; implements `ConnectionRegistry`."""
 
     def __init__(self, host: Host, budget: int) -> None:
         self.host = host
         self.budget = budget
-        self.least_budget = budget * 2 // 3
-        self.connections: dict[ClientConnection, None] = {}  # those longest at rest come first
-        self.lingering: dict[ClientConnection, None] = {}  # ended by the router, not yet by their clients
-        self.changed = asyncio.Event()  # a connection has ended or fallen idle
+        self.min_budget = budget * 2 // 3
+        self.connections: dict[ClientConnection, None] = {}  # the one idle for longest first
+        self.lingering: dict[ClientConnection, None] = {}  # half-closed by the router
+        self.changed = asyncio.Event()  # a connection has closed or become idle
         self.socket = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-        self.accepting: asyncio.Task[None] | None = None
-        self.acceptable = asyncio.Event()  # a client has come, or none will be waited for
+        self.accept_task: asyncio.Task[None] | None = None
+        self.acceptable = asyncio.Event()  # a client has connected, or the listener stops
         self.stopping = False
-        self.unread: list[ClientConnection] = []  # their ends have to be looked for
-        self.looking: asyncio.TimerHandle | None = None
+        self.paused: list[ClientConnection] = []  # not being read from: polled for disconnects
+        self.poll_timer: asyncio.TimerHandle | None = None
 
     def start(self, address: tuple[str, int]) -> None:
-        """Listen and accept."""
+        """Binds the address and starts accepting; raises OSError if the address cannot be bound."""
         self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self.socket.setblocking(False)
         self.socket.bind(address)
-        self.socket.listen(BACKLOG)
-        self.accepting = asyncio.create_task(self._accept())
+        self.socket.listen(LISTEN_BACKLOG)
+        self.accept_task = asyncio.create_task(self._accept_loop())
 
-    async def _accept(self) -> None:
-        """Accept for ever; once stopping, until the system holds no client that has connected already."""
+    async def _accept_loop(self) -> None:
+        """Accepts clients; once stopping, only those that are already in the kernel's accept queue."""
         loop = asyncio.get_running_loop()
         while True:
             try:
@@ -73,115 +74,120 @@
                 loop.remove_reader(self.socket)
                 continue
             except OSError as e:
-                log.warning("accept: %s", e)
+                log.warning("accept: %s; retrying", e)
                 if e.errno in (errno.EMFILE, errno.ENFILE):
-                    self._shed()
+                    self._reduce_budget()
                 await asyncio.sleep(ACCEPT_RETRY_S)
                 continue
             try:
                 client.setblocking(False)
-                # asyncio sets it only on sockets made with the protocol's number, unlike this listener's:
-                # a small answer waited for the client's word on the one before
+                # asyncio sets it only on sockets created with IPPROTO_TCP, unlike this listener's. Without it
+                # a small response waits until the client has acknowledged the previous one (Nagle).
                 client.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
                 connection = ClientConnection(self.host, self)
                 await loop.connect_accepted_socket(lambda c=connection: c, client)  # type: ignore[misc]
             except OSError as e:
-                log.warning("accept: %s", e)
+                log.warning("accept: %s; connection dropped", e)
                 await asyncio.sleep(ACCEPT_RETRY_S)
             else:
                 await self._make_room(connection)
 
     async def _make_room(self, newest: ClientConnection) -> None:
-        """Guards the descriptors: the newest client costs an idle one, or waits until there is one."""
-        while len(self.connections) > self._most_open():
+        """Closes idle connections until all fit the budget; waits while there is none to close."""
+        while len(self.connections) > self._max_open():
             self.changed.clear()
             if not self._close_one(newest):
                 if self.stopping:
                     break
                 with suppress(TimeoutError):
-                    async with asyncio.timeout(ROOM_LOOK):
+                    async with asyncio.timeout(STALL_POLL_S):
                         await self.changed.wait()
-        self._cut_lingering()
+        self._abort_lingering()
 
-    def _most_open(self) -> int:
-        return self.budget - self.budget // SPARE
+    def _max_open(self) -> int:
+        return self.budget - self.budget // LINGER_RESERVE_DIVISOR
 
     def _close_one(self, newest: ClientConnection | None = None) -> bool:
-        """End the connection that is longest at rest, or one that half a command has held for long."""
-        idle = next((c for c in self.connections if c is not newest and not c.unsent() and c.is_idle()), None)
+        """Closes the connection idle for longest, else a stalled one. Returns whether there was one."""
+        idle = next(
+            (c for c in self.connections if c is not newest and not c.has_unsent() and c.is_idle()), None
+        )
         if idle is not None:
-            idle.shut()
+            idle.close()
             return True
-        stalled = next((c for c in self.connections if c is not newest and c.stalled()), None)
+        stalled = next((c for c in self.connections if c is not newest and c.is_stalled()), None)
         if stalled is not None:
-            stalled.end_with(ERR_COMMAND_TIMEOUT)
+            stalled.close_with_error(ERR_COMMAND_TIMEOUT)
         return stalled is not None
 
-    def _shed(self) -> None:
-        """Fewer descriptors than was told: leave some to the calls to discovery and to servers."""
-        self.budget = max(self.least_budget, self.budget - SHED)
-        self._cut_lingering()
-        while len(self.connections) > self._most_open() and self._close_one():
+    def _reduce_budget(self) -> None:
+        """Shrinks a budget above what the system grants, to leave descriptors for discovery and servers."""
+        self.budget = max(self.min_budget, self.budget - BUDGET_STEP)
+        self._abort_lingering()
+        while len(self.connections) > self._max_open() and self._close_one():
             pass
 
-    def rest(self, connection: ClientConnection) -> None:
-        """Note that nothing is owed on a connection any more."""
+    def mark_idle(self, connection: ClientConnection) -> None:
+        """Records that a connection has no response outstanding."""
         if connection in self.connections:
             del self.connections[connection]
             self.connections[connection] = None
         self.changed.set()
 
-    def linger(self, connection: ClientConnection) -> None:
-        """Note that the router has ended a connection, which costs its descriptor a little longer."""
+    def start_lingering(self, connection: ClientConnection) -> None:
+        """Records that the router has half-closed a connection, which still holds its descriptor."""
         self.connections.pop(connection, None)
         self.lingering[connection] = None
         self.changed.set()
-        self._cut_lingering()
+        self._abort_lingering()
 
-    def _cut_lingering(self) -> None:
-        """Guards the descriptors: those that linger go first, and of them those that owe nothing."""
+    def _abort_lingering(self) -> None:
+        """Aborts lingering connections above the budget, first those with no unsent responses."""
         over = len(self.connections) + len(self.lingering) - self.budget
         if over > 0:
-            for connection in sorted(self.lingering, key=ClientConnection.unsent)[:over]:
-                connection.cut()
-
-    def watch(self, connection: ClientConnection) -> None:
-        """Look for a client's end while it is not read from."""
-        if connection not in self.unread:
-            self.unread.append(connection)
-        if self.looking is None:
-            self.looking = asyncio.get_running_loop().call_later(DISCONNECT_POLL_S, self._look)
-
-    def _look(self) -> None:
-        self.looking = None
-        open_still = (c for c in self.unread if not c.transport.is_closing())
-        self.unread = [c for c in open_still if not c.transport.is_reading()]
-        for connection in all_ended(self.unread):
-            connection.leave()
-        if self.unread:
-            self.looking = asyncio.get_running_loop().call_later(DISCONNECT_POLL_S, self._look)
-
-    def forget(self, connection: ClientConnection) -> None:
-        """Note that a connection is closed."""
+            for connection in sorted(self.lingering, key=ClientConnection.has_unsent)[:over]:
+                connection.abort()
+
+    def watch_for_disconnect(self, connection: ClientConnection) -> None:
+        """Starts polling for a disconnect of a client while reading from it is paused."""
+        if connection not in self.paused:
+            self.paused.append(connection)
+        if self.poll_timer is None:
+            self.poll_timer = asyncio.get_running_loop().call_later(DISCONNECT_POLL_S, self._poll_disconnects)
+
+    def _poll_disconnects(self) -> None:
+        self.poll_timer = None
+        still_open = (c for c in self.paused if not c.transport.is_closing())
+        self.paused = [c for c in still_open if not c.transport.is_reading()]
+        for connection in find_disconnected(self.paused):
+            connection.on_disconnect()
+        if self.paused:
+            self.poll_timer = asyncio.get_running_loop().call_later(DISCONNECT_POLL_S, self._poll_disconnects)
+
+    def remove(self, connection: ClientConnection) -> None:
+        """Removes a closed connection."""
         self.connections.pop(connection, None)
         self.lingering.pop(connection, None)
         self.changed.set()
 
-    async def stop(self, still_coming: float, longest: float) -> None:
-        """Accept for a while longer, then no more; end when nothing is owed to any client."""
-        await asyncio.sleep(still_coming)
+    async def stop(self, grace: float, time_limit: float) -> None:
+        """Accepts for `grace` more seconds, then waits until all responses are sent and all clients closed.
+
+        Gives up waiting `time_limit` seconds after that.
+        """
+        await asyncio.sleep(grace)
         self.stopping = True
         self.acceptable.set()
         self.changed.set()
         with suppress(TimeoutError):
-            async with asyncio.timeout(longest):
-                if self.accepting is not None:
-                    await self.accepting
+            async with asyncio.timeout(time_limit):
+                if self.accept_task is not None:
+                    await self.accept_task
                 self.socket.close()
                 while self.connections or self.lingering:
                     self.changed.clear()
                     for connection in list(self.connections):
-                        # closed between requests: one that has begun to come in is waited for
+                        # Closes between requests only: a command that has begun to arrive is waited for.
                         if connection.is_idle():
-                            connection.shut()
+                            connection.close()
                     await self.changed.wait()
--- a/brackenwalk/net/pool.py
+++ b/brackenwalk/net/pool.py
@@ -1,4 +1,4 @@
-"""Kept connections that carry one attempt at a time, and what became of each attempt."""
+"""Pools of keep-alive connections that carry one attempt at a time, and the outcomes of the attempts."""
 
 from __future__ import annotations
 
@@ -11,43 +11,44 @@
 from brackenwalk.interface import Status
 from brackenwalk.net.command import Command
 
-IDLE_MARGIN_S = 0.5  # seconds before the peer may close an idle connection at which it is no longer used
-# seconds for which an answered connection carries nothing: a second answer comes up to 4 ms after the first,
-# measured, and would be taken for that of the next request
+IDLE_MARGIN_S = 0.5  # time by which an idle connection is closed before the server may close it
+# Time after a response for which its connection is not reused. A faulty second response comes up to 4 ms
+# after the first (measured) and would be taken for the response to the next request.
 REUSE_DELAY_S = 0.02
 log = logging.getLogger(__name__)
 
-AttemptResult = tuple[Status, bytes]
+AttemptResult = tuple[Status, bytes]  # the outcome, and the value if there is one
 
 
 class MalformedResponse(Exception):
-    """Bytes that are no answer; what they answer may have run."""
+    """Received bytes that are no valid response. The server may have executed the request all the same."""
 
 
 def parse_address(text: str) -> tuple[str, int]:
-    """Split `host:port`."""
+    """Splits `host:port`."""
     host, _, port = text.rpartition(":")
     return host, int(port)
 
 
-def ended(transport: asyncio.BaseTransport) -> bool:
-    """Whether the peer has ended the connection, even with bytes before the end that nobody has read."""
+def peer_closed(transport: asyncio.BaseTransport) -> bool:
+    """Returns whether the peer has closed or half-closed the connection, even behind unread bytes."""
     poll = select.poll()
     poll.register(transport.get_extra_info("socket").fileno(), select.POLLRDHUP)
     return bool(poll.poll(0))
 
 
 def readable(transport: asyncio.BaseTransport) -> bool:
-    """Whether bytes or an end wait on a socket that the event loop has not looked at yet."""
+    """Returns whether the socket has bytes or a close that the event loop has not processed yet."""
     poll = select.poll()
     poll.register(transport.get_extra_info("socket").fileno(), select.POLLIN)
     return bool(poll.poll(0))
 
 
 class Exchange:
-    """One attempt: it ends once, by `on_done` or by being abandoned.
+    """One attempt: it ends once, either by a call of `on_done` or by `abandon`.
 
-    `check_client` abandons it if its client has gone; it is called before the request is written late.
+    `check_client` abandons it if its client has disconnected. It is called when a dial has completed, before
+    the request is written.
     """
 
     def __init__(
@@ -58,7 +59,7 @@
         check_client: Callable[[], object],
     ) -> None:
         self.command = command
-        self.until = asyncio.get_running_loop().time() + time_left
+        self.deadline = asyncio.get_running_loop().time() + time_left
         self.on_done = on_done
         self.check_client = check_client
         self.open = True
@@ -66,119 +67,136 @@
         self.connection: Connection | None = None
 
     def finish(self, status: Status, value: bytes = b"") -> None:
+        """Reports the outcome, unless the attempt has ended already."""
         if self.open:
             self.open = False
             self.on_done(status, value)
 
     def unsent(self) -> bool:
-        """Whether the server can't have it whole yet: the dial is on, or bytes are kept back."""
-        return self.open and (self.connection is None or not self.connection.written)
+        """Returns whether the server cannot have the whole request yet, while dialling or buffering."""
+        return self.open and (self.connection is None or not self.connection.fully_written)
 
     def abandon(self) -> None:
-        """Stop waiting. Closing tells the server to stop work, and an answer can't meet a later request."""
+        """Ends the attempt without an outcome and closes its connection.
+
+        The close tells the server to stop work, and keeps a late response from being taken for the response
+        to a later request.
+        """
         if not self.open:
             return
         self.open = False
         if self.dial is not None:
             self.dial.cancel()
         if self.connection is not None:
-            self.connection.drop()
+            self.connection.abort()
 
 
 class Connection(asyncio.Protocol):
-    """A connection to one address."""
+    """A connection to one address, which carries one attempt at a time. Subclasses speak the protocol."""
 
     def __init__(self, pool: Pool, address: str) -> None:
         self.pool = pool
         self.address = address
         self.exchange: Exchange | None = None
-        self.written = False  # whether the request's last byte is
-        self.expiry: asyncio.TimerHandle | None = None
-        self.kept_at = 0.0  # when it was last answered
+        self.fully_written = False  # whether the last byte of the request is in the kernel
+        self.expiry_timer: asyncio.TimerHandle | None = None
+        self.idle_since = 0.0  # loop time of the latest response
 
     @abstractmethod
     def encode(self, command: Command, time_left: float) -> bytes:
-        """A request's bytes."""
+        """Returns the bytes of a request; `time_left` in seconds is what the server is told to have."""
 
     @abstractmethod
     def decode(self, data: bytes) -> AttemptResult | None:
-        """Take bytes of the answer; None until it is whole."""
+        """Parses bytes of a response. Returns None until it is complete; raises `MalformedResponse`."""
 
     @abstractmethod
     def reusable(self) -> bool:
-        """Whether nothing is left over after an answer."""
+        """Returns whether a complete response was read with no bytes behind it."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Adds the connection to the pool."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
-        # so that `resume_writing` comes just when the last byte has gone to the kernel
+        # Makes asyncio call `resume_writing` exactly when the last byte has been passed to the kernel.
         transport.set_write_buffer_limits(high=0)
         self.pool.connections.add(self)
 
     def begin(self, exchange: Exchange) -> None:
+        """Writes an attempt's request."""
         exchange.connection = self
         self.exchange = exchange
-        self.written = False
+        self.fully_written = False
         try:
-            left = exchange.until - asyncio.get_running_loop().time()  # less what the dial took
-            data = self.encode(exchange.command, left)
+            # Less than the attempt's time at its start by what the dial took.
+            time_left = exchange.deadline - asyncio.get_running_loop().time()
+            data = self.encode(exchange.command, time_left)
         except Exception:
-            # guards the router: what can't be sent costs its connection, and the attempt ends at once
-            log.exception("request to %s", self.address)
-            self.drop()
+            # Guards the request: an attempt whose request cannot be encoded would have no outcome. Closing
+            # the connection ends it at once.
+            log.exception("request to %s could not be encoded: please report this trace", self.address)
+            self.abort()
             return
         self.transport.write(data)
-        # guards against a second effect: `write` returns also when bytes are kept back or the write failed
-        self.written = not self.transport.is_closing() and not self.transport.get_write_buffer_size()
+        # Guards against executing a request twice: it may be sent again only if the server cannot have it
+        # whole, and `write` returns also when it has buffered bytes or failed.
+        self.fully_written = not self.transport.is_closing() and not self.transport.get_write_buffer_size()
 
     def resume_writing(self) -> None:
-        self.written = True
+        """Records that the kernel has the whole request."""
+        self.fully_written = True
 
     def data_received(self, data: bytes) -> None:
+        """Parses the response. Once it is complete, ends the attempt and keeps or closes the connection."""
         exchange = self.exchange
-        if exchange is None:  # bytes that nobody asked for: the next answer could not be told from them
-            self.drop()
+        if exchange is None:  # unexpected bytes, which would be taken for the start of the next response
+            self.abort()
             return
         try:
-            answer = self.decode(data)
+            result = self.decode(data)
         except Exception as e:
-            # guards the router: whatever a server sends costs its connection and no more
+            # Guards the router: whatever bytes a server sends, an error costs only the connection.
             level = logging.WARNING if isinstance(e, MalformedResponse) else logging.ERROR
-            log.log(level, "answer of %s: %r", self.address, e)
+            log.log(level, "response from %s could not be read, connection closed: %r", self.address, e)
             self.exchange = None
-            self.drop()
+            self.abort()
             exchange.finish(Status.ERROR)
             return
-        if answer is not None:
+        if result is not None:
             self.exchange = None
-            if self.written and self.reusable() and not self.transport.is_closing():
-                self.pool.keep(self)
+            if self.fully_written and self.reusable() and not self.transport.is_closing():
+                self.pool.release(self)
             else:
-                self.drop()
-            exchange.finish(*answer)
+                self.abort()
+            exchange.finish(*result)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.pool.forget(self)
+        """Ends the attempt: as a reset if the whole request was written, else as one that never ran."""
+        self.pool.remove(self)
         exchange, self.exchange = self.exchange, None
         if exchange is not None:
-            exchange.finish(Status.RESET if self.written else Status.CONNECT_FAILED)
+            exchange.finish(Status.RESET if self.fully_written else Status.CONNECT_FAILED)
 
-    def drop(self) -> None:
-        """Close at once, without sending what is still held back."""
-        self.pool.forget(self)
+    def abort(self) -> None:
+        """Closes the connection at once, discarding buffered bytes."""
+        self.pool.remove(self)
         self.transport.abort()
 
 
 class Pool:
-    """The connections to servers that speak one protocol."""
+    """The connections to the servers of one protocol, within a budget of file descriptors."""
 
     def __init__(
-        self, make: Callable[[Pool, str], Connection], budget: int, dial_timeout: float, idle: float
+        self,
+        make_connection: Callable[[Pool, str], Connection],
+        budget: int,
+        dial_timeout: float,
+        server_idle_timeout: float,
     ) -> None:
-        self.make = make
-        self.budget = budget  # of descriptors
+        self.make_connection = make_connection
+        self.budget = budget  # of file descriptors
         self.dial_timeout = dial_timeout
-        self.idle_time = max(0.0, idle - IDLE_MARGIN_S)
+        self.idle_timeout = max(0.0, server_idle_timeout - IDLE_MARGIN_S)
         self.connections: set[Connection] = set()
         self.dials: set[asyncio.Task[None]] = set()
         self.idle: dict[str, list[Connection]] = {}
@@ -191,17 +209,21 @@
         on_done: Callable[[Status, bytes], None],
         check_client: Callable[[], object] = lambda: None,
     ) -> Exchange:
-        """Start an attempt; where a connection has to come up first, `check_client` is called when it has."""
+        """Starts an attempt on an idle connection or a new one.
+
+        Calls `on_done` with the outcome, and `check_client` when a dial has completed. `time_left` is in
+        seconds.
+        """
         exchange = Exchange(command, time_left, on_done, check_client)
-        kept = self._take(address)
-        if kept is not None:
-            kept.begin(exchange)
-        elif self._has_room():
+        idle = self._take_idle(address)
+        if idle is not None:
+            idle.begin(exchange)
+        elif self._make_room():
             exchange.dial = asyncio.create_task(self._dial(address, exchange))
             self.dials.add(exchange.dial)
             exchange.dial.add_done_callback(self.dials.discard)
         else:
-            # guards against running out of descriptors, which would stop new clients as well
+            # Guards against running out of descriptors, which would keep out new clients as well.
             exchange.finish(Status.CONNECT_FAILED)
         return exchange
 
@@ -209,56 +231,57 @@
         try:
             async with asyncio.timeout(self.dial_timeout):
                 _, connection = await asyncio.get_running_loop().create_connection(
-                    lambda: self.make(self, address), *parse_address(address)
+                    lambda: self.make_connection(self, address), *parse_address(address)
                 )
         except Exception as e:
-            if not isinstance(e, OSError):  # a time-out is one
-                # guards the request: an address that can't be used would leave it without an outcome
-                log.error("dial to %s: %r", address, e)
+            if not isinstance(e, OSError):  # TimeoutError is an OSError
+                # Guards the request: an unusable address would leave its attempt without an outcome.
+                log.error("dial to %s failed unexpectedly, check this address in the list: %r", address, e)
             exchange.finish(Status.CONNECT_FAILED)
             return
         exchange.dial = None
-        exchange.check_client()  # guards against work for nobody: the client may have left while this came up
+        exchange.check_client()  # the client may have disconnected during the dial
         if exchange.open:
             connection.begin(exchange)
         else:
-            connection.drop()
+            connection.abort()
 
-    def _take(self, address: str) -> Connection | None:
-        """The kept connection used last, of those that have rested and still stand."""
+    def _take_idle(self, address: str) -> Connection | None:
+        """Returns the most recently used idle connection that may be reused, and drops those found closed."""
         idle = self.idle.get(address, [])
-        rested = asyncio.get_running_loop().time() - REUSE_DELAY_S
-        for connection in [c for c in reversed(idle) if c.kept_at <= rested]:
+        idle_before = asyncio.get_running_loop().time() - REUSE_DELAY_S
+        for connection in [c for c in reversed(idle) if c.idle_since <= idle_before]:
             idle.remove(connection)
-            if connection.expiry is not None:
-                connection.expiry.cancel()
-            # guards against resets: a close that came in since the loop last looked would lose the request
+            if connection.expiry_timer is not None:
+                connection.expiry_timer.cancel()
+            # Guards against resets: a request written to a connection that the server has closed since the
+            # event loop last polled it would be lost.
             if not connection.transport.is_closing() and not readable(connection.transport):
                 return connection
-            connection.drop()
+            connection.abort()
         return None
 
-    def _has_room(self) -> bool:
+    def _make_room(self) -> bool:
         if len(self.connections) + len(self.dials) < self.budget:
             return True
         idle = next((i for i in self.idle.values() if i), None)
         if idle is None:
             return False
-        idle[0].drop()
+        idle[0].abort()
         return True
 
-    def keep(self, connection: Connection) -> None:
-        """Hold a connection for the next attempt until the server would close it."""
+    def release(self, connection: Connection) -> None:
+        """Returns a connection to the pool for reuse, until shortly before the server would close it."""
         loop = asyncio.get_running_loop()
-        connection.kept_at = loop.time()
-        connection.expiry = loop.call_later(self.idle_time, connection.drop)
+        connection.idle_since = loop.time()
+        connection.expiry_timer = loop.call_later(self.idle_timeout, connection.abort)
         self.idle.setdefault(connection.address, []).append(connection)
 
-    def forget(self, connection: Connection) -> None:
-        """Note that a connection is closed."""
+    def remove(self, connection: Connection) -> None:
+        """Removes a closed connection."""
         self.connections.discard(connection)
-        if connection.expiry is not None:
-            connection.expiry.cancel()
+        if connection.expiry_timer is not None:
+            connection.expiry_timer.cancel()
         idle = self.idle.get(connection.address, [])
         if connection in idle:
             idle.remove(connection)
@@ -266,13 +289,13 @@
             self.idle.pop(connection.address, None)
 
     def close_idle(self, address: str) -> None:
-        """Close the kept connections to one address."""
+        """Closes the idle connections to one address."""
         for connection in list(self.idle.get(address, ())):
-            connection.drop()
+            connection.abort()
 
     def close(self) -> None:
-        """Close everything."""
+        """Closes all connections and cancels all dials."""
         for connection in list(self.connections):
-            connection.drop()
+            connection.abort()
         for dial in self.dials:
             dial.cancel()
