--- a/brackenwalk/__main__.py
+++ b/brackenwalk/__main__.py
@@ -160,7 +160,7 @@
         demand = host.router.demand
         logging.info(
             "datagrams taken for none: %d unknown, %d garbled, %d late",
-            peers.unknown,
+            peers.rejected,
             demand.garbled,
             demand.stale,
         )
--- a/brackenwalk/net/discovery.py
+++ b/brackenwalk/net/discovery.py
@@ -1,4 +1,4 @@
-"""The list of cache servers: its entries, and the watch on its changes."""
+"""The discovery client: reads server lists and watches discovery for their changes."""
 
 from __future__ import annotations
 
@@ -17,68 +17,76 @@
 from brackenwalk.net.pool import parse_address
 
 STATES = {"in_service": api.State.READY, "terminating": api.State.DRAINING, "terminated": api.State.GONE}
-MAX_LIST = 4 * 1024 * 1024
-# with the margin, 5 s: after 6 s news that did not arrive counts as told, and a new call takes time as well
+MAX_LIST_BYTES = 4 * 1024 * 1024
+# Time for which a watch asks discovery to wait for a change. With the margin a silent call is given up after
+# 5 s: a change counts as delivered to the routers after 6 s, and the next call takes time as well.
 WATCH_WAIT_S = 3.0
-RESPONSE_MARGIN_S = 2.0  # for which discovery may keep a call waiting in turn before that
-# after an answer with no news, so that an agent that never waits is not asked in a spin; a call more than
-# 200 ms after the last answer would be a new watch, in turn with all others
+RESPONSE_MARGIN_S = 2.0  # time for which discovery may queue a call before it starts to wait
+# Pause after a response with no change, so that an agent that never waits is not called in a busy loop. A
+# call later than 200 ms after the previous response would count as a new watch and be queued behind others.
 EMPTY_RESPONSE_PAUSE_S = 0.05
-# for the connection, which waits for nobody's turn: one that never comes up would take most of the time after
-# which news counts as told; the system itself sends a lost SYN again only after as long
+# For the connection alone, which discovery does not queue. One that is never accepted would otherwise take
+# most of the time after which a change counts as delivered. The kernel resends a lost SYN only after 1 s.
 DIAL_TIMEOUT_S = 1.0
-PEEK = 0.001  # the wait of the first call to another discovery, which may count its versions anew
+PROBE_WAIT_S = 0.001  # wait of the first watch at another discovery, whose index may have started over
 log = logging.getLogger(__name__)
 
 
 class ListError(ValueError):
-    """A list that can't be used; the message names the field."""
+    """A list or response that cannot be used; the message names the field."""
 
 
-def field(table: dict[str, Any], name: str, kind: type | tuple[type, ...], where: str) -> Any:
-    """A field of the right type."""
+def read_field(table: dict[str, Any], name: str, types: type | tuple[type, ...], where: str) -> Any:
+    """Returns a field if it has one of the given types; raises `ListError` naming it under `where`."""
     value = table.get(name)
-    if not isinstance(value, kind) or (isinstance(value, bool) and kind is not bool):
+    if not isinstance(value, types) or (isinstance(value, bool) and types is not bool):
         raise ListError(f"{where}{name} is missing or malformed: {str(value)[:40]}")
     return value
 
 
 def read_member(line: Any, where: str) -> Member:
-    """One entry."""
+    """Parses one entry of a list; raises `ListError` naming the field under `where`."""
     if not isinstance(line, dict):
         raise ListError(f"{where} is not an object")
     where += "."
-    state = field(line, "status", str, where)
+    state = read_field(line, "status", str, where)
     if state not in STATES:
         raise ListError(f"{where}status is unknown: {state[:40]}")
-    address = field(line, "address", str, where)
+    address = read_field(line, "address", str, where)
     host, _, port = address.rpartition(":")
     if not host or not port.isdigit() or not 0 < int(port) < 65536:
         raise ListError(f"{where}address is not host:port: {address[:40]}")
     entry = api.ServerEntry(
-        server=field(line, "name", str, where),
+        server=read_field(line, "name", str, where),
         state=STATES[state],
-        kind=field(line, "type", str, where),
-        zone=field(line, "zone", str, where),
-        cell=field(line, "group", int, where),
-        weight=max(0.0, field(line, "weight", (int, float), where)),
-        since=field(line, "since_ms", (int, float), where) / 1000,  # Unix time, as the host's clock
+        kind=read_field(line, "type", str, where),
+        zone=read_field(line, "zone", str, where),
+        cell=read_field(line, "group", int, where),
+        weight=max(0.0, read_field(line, "weight", (int, float), where)),
+        # Unix time in seconds, as the host's clock.
+        since=read_field(line, "since_ms", (int, float), where) / 1000,
     )
     return Member(entry, address)
 
 
 def read_list(message: Any, where: str = "") -> tuple[int, bool, list[Member]]:
-    """The version of a list, whether it is whole, and its entries."""
+    """Returns a list's index, whether it is a full list (else changes), and its entries.
+
+    Raises `ListError` naming the field under `where`.
+    """
     if not isinstance(message, dict):
         raise ListError(f"{where or 'list'} is not an object")
     where += "." if where else ""
-    lines = field(message, "endpoints", list, where)
+    lines = read_field(message, "endpoints", list, where)
     members = [read_member(line, f"{where}endpoints[{i}]") for i, line in enumerate(lines)]
-    return field(message, "index", int, where), field(message, "snapshot", bool, where), members
+    return read_field(message, "index", int, where), read_field(message, "snapshot", bool, where), members
 
 
 class DiscoveryClient:
-    """Watches the list when asked to; a call that fails ends the watch."""
+    """Watches discovery for changes of the server list by long polling.
+
+    A failed call ends the watch and calls `on_failure`; it is up to the caller to subscribe again.
+    """
 
     def __init__(
         self,
@@ -91,56 +99,63 @@
         self.index = index
         self.on_list = on_list
         self.on_failure = on_failure
-        self.asked = address  # by the watch's latest call
-        self.met = True  # whether the list held is known to be of the discovery at this address
+        self.called_address = address  # by the watch's latest call, which may still wait there
+        self.index_valid = True  # whether the discovery at this address is known to share the index
         self.watch_task: asyncio.Task[None] | None = None
 
     def subscribe(self) -> None:
-        """Begin a watch, unless one is on; one that waits at an old address makes way."""
-        if self.watch_task is not None and self.asked != self.address:
+        """Starts a watch unless one is running; replaces one that still waits at a previous address."""
+        if self.watch_task is not None and self.called_address != self.address:
             self.watch_task.cancel()
             self.watch_task = None
         if self.watch_task is None:
-            self.watch_task = asyncio.create_task(self._watch())
+            self.watch_task = asyncio.create_task(self._run_watch())
 
     def set_address(self, address: str) -> bool:
-        """Ask at another address from the next call on; tells whether it is another."""
-        moved, self.address = address != self.address, address
-        self.met = self.met and not moved
-        return moved
+        """Sets the address for the next call on. Returns whether it has changed."""
+        changed, self.address = address != self.address, address
+        self.index_valid = self.index_valid and not changed
+        return changed
 
-    async def _watch(self) -> None:
+    async def _run_watch(self) -> None:
         try:
             while True:
-                began = time.monotonic()
-                wait = WATCH_WAIT_S if self.met else PEEK
-                news = await self._call(f"?after={self.index}&wait_ms={math.ceil(wait * 1000)}", wait)
-                if news[0] < self.index and not news[1]:
-                    # a discovery that counts anew would tell nothing until it has come as far as the old one
-                    news = await self._call("")
-                    if not news[1]:
-                        raise ListError("answered with changes when asked for the whole list")
-                self.met = self.met or self.asked == self.address
-                self.index, whole, members = news
-                self.on_list(api.ListKind.FULL if whole else api.ListKind.DELTA, members)
+                started_at = time.monotonic()
+                wait = WATCH_WAIT_S if self.index_valid else PROBE_WAIT_S
+                update = await self._call(f"?after={self.index}&wait_ms={math.ceil(wait * 1000)}", wait)
+                if update[0] < self.index and not update[1]:
+                    # This discovery's index has started over: a watch from the old index would report no
+                    # change until the new one has caught up, so it needs the full list.
+                    update = await self._call("")
+                    if not update[1]:
+                        raise ListError("sent changes in response to a call for the full list")
+                self.index_valid = self.index_valid or self.called_address == self.address
+                self.index, is_full, members = update
+                self.on_list(api.ListKind.FULL if is_full else api.ListKind.DELTA, members)
                 if not members:
                     await asyncio.sleep(EMPTY_RESPONSE_PAUSE_S)
         except Exception as e:
-            # guards the list: whatever went wrong, the module must hear of it, or it would never ask again
+            # Guards the list: the module subscribes again only when told of the failure, whatever it was.
             known = isinstance(e, (OSError, HttpError, ListError, orjson.JSONDecodeError))
-            level, waited = logging.WARNING if known else logging.ERROR, time.monotonic() - began
-            log.log(level, "discovery, after %.3f s: %s", waited, repr(e)[:200])
-        self.watch_task = None  # a cancelled one has been replaced, or is not to be
+            level, elapsed = logging.WARNING if known else logging.ERROR, time.monotonic() - started_at
+            log.log(
+                level,
+                "call to discovery failed after %.3f s, keeping the current server list: %s",
+                elapsed,
+                repr(e)[:200],
+            )
+        self.watch_task = None  # not reached on cancellation, where `subscribe` or `close` takes over
         self.on_failure()
 
     async def _call(self, query: str, wait: float = 0.0) -> tuple[int, bool, list[Member]]:
-        # guards against a discovery that has gone silent: what it has to tell counts as told soon after
-        self.asked = self.address
+        # Guards against a discovery that has stopped responding: its changes soon count as delivered, and the
+        # call must fail early enough for another one.
+        self.called_address = self.address
         async with asyncio.timeout(wait + RESPONSE_MARGIN_S):
             async with asyncio.timeout(DIAL_TIMEOUT_S):
-                reader, writer = await asyncio.open_connection(*parse_address(self.asked))
+                reader, writer = await asyncio.open_connection(*parse_address(self.called_address))
             try:
-                client = HttpClient(self.asked, MAX_LIST)
+                client = HttpClient(self.called_address, MAX_LIST_BYTES)
                 request = client.request("GET", "/registry/instances" + query, [(b"Connection", b"close")])
                 writer.write(request)
                 response = None
@@ -149,9 +164,10 @@
             finally:
                 writer.close()
         if response.status != 200:
-            raise ListError(f"answered {response.status}")
+            raise ListError(f"HTTP status {response.status}")
         return read_list(orjson.loads(response.body))
 
     def close(self) -> None:
+        """Cancels the watch, without a call of `on_failure`."""
         if self.watch_task is not None:
             self.watch_task.cancel()
--- a/brackenwalk/net/peers.py
+++ b/brackenwalk/net/peers.py
@@ -1,4 +1,4 @@
-"""Datagrams between routers."""
+"""Datagrams between routers (UDP)."""
 
 from __future__ import annotations
 
@@ -11,55 +11,61 @@
 
 from brackenwalk.net.pool import parse_address
 
-PEER_BUFFER_BYTES = 1024  # bytes of a receive buffer that a datagram takes, with what the system adds
-MAX_DATAGRAM_BYTES = 256  # a longer one is never sent, and no router sends one
+PEER_BUFFER_BYTES = 1024  # receive buffer for each peer: one datagram with the kernel's overhead
+MAX_DATAGRAM_BYTES = 256  # limit for sending; no router sends more, so longer ones are rejected
 log = logging.getLogger(__name__)
 
 
 class PeerSocket(asyncio.DatagramProtocol):
-    """The socket at which peers are heard, and from which all of them are told."""
+    """The socket that receives the datagrams of peers and sends datagrams to all of them."""
 
-    def __init__(self, listen: str, peers: list[str], everyone: str, heard: Callable[[bytes], None]) -> None:
+    def __init__(
+        self, listen: str, peers: list[str], peers_all: str, on_message: Callable[[bytes], None]
+    ) -> None:
         self.listen = parse_address(listen)
         self.peers = {parse_address(p) for p in peers} - {self.listen}
-        self.everyone = parse_address(everyone)
-        self.heard = heard
+        self.peers_all = parse_address(peers_all)
+        self.on_message = on_message
         self.transport: asyncio.DatagramTransport | None = None
-        self.unknown = 0  # datagrams of no peer's address, or of a size that none sends
+        self.rejected = 0  # datagrams not from a peer's address, or too long
 
     async def start(self) -> None:
-        """Open the socket; without it the router serves all the same."""
+        """Opens the socket. If that fails, logs it and lets the router serve without its peers."""
         loop = asyncio.get_running_loop()
         try:
             await loop.create_datagram_endpoint(lambda: self, local_addr=self.listen)
         except OSError as e:
-            log.error("no messages between routers: %s", e)
+            log.error("peer socket did not open, exchanging no messages with other routers: %s", e)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        # the loop's own is none by its type
+        """Enlarges the receive buffer to hold one datagram of each peer."""
+        # A cast, as asyncio's datagram transport is no subclass of DatagramTransport.
         self.transport = cast(asyncio.DatagramTransport, transport)
-        # guards against losing what all peers tell at once: the system's default holds two hundred or so
+        # Guards against losing datagrams that all peers send at once: the default buffer holds some 200.
         with suppress(OSError):
-            ours = self.transport.get_extra_info("socket")
+            peer_socket = self.transport.get_extra_info("socket")
             need = max(
-                ours.getsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF), PEER_BUFFER_BYTES * len(self.peers)
+                peer_socket.getsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF),
+                PEER_BUFFER_BYTES * len(self.peers),
             )
-            ours.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, need)
+            peer_socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, need)
 
     def datagram_received(self, data: bytes, addr: tuple[str | Any, int]) -> None:
+        """Passes on datagrams of peers and counts all others."""
         if addr[:2] in self.peers and len(data) <= MAX_DATAGRAM_BYTES:
-            self.heard(data)
+            self.on_message(data)
         else:
-            self.unknown += 1
+            self.rejected += 1
 
     def error_received(self, exc: Exception) -> None:
-        """A peer that is gone may say so; datagrams get lost anyway."""
+        """Ignores ICMP errors of peers that are down, as datagrams may be lost anyway."""
 
     def broadcast(self, content: bytes) -> None:
-        """Send to every peer."""
+        """Sends to all peers; ignores an empty or too long datagram, and all without a socket."""
         if self.transport is not None and 0 < len(content) <= MAX_DATAGRAM_BYTES:
-            self.transport.sendto(content, self.everyone)
+            self.transport.sendto(content, self.peers_all)
 
     def close(self) -> None:
+        """Closes the socket if it is open."""
         if self.transport is not None:
             self.transport.close()
