--- a/brackenwalk/__main__.py
+++ b/brackenwalk/__main__.py
@@ -1,4 +1,4 @@
-"""One real router: its configuration, its log, its signals."""
+"""The router process: configuration, log, signals and shutdown."""
 
 from __future__ import annotations
 
@@ -23,21 +23,22 @@
 from brackenwalk.net.servers import CacheConnection
 from brackenwalk.settings import number, read_settings, section
 
-STILL_COMING = 0.5  # seconds after SIGTERM in which new connections come: 0.2 to 0.4, and a little more
-# SIGKILL comes after the longest deadline and 0.7 s; a longer deadline than this one counts as this one
-COUNTED = 3.0
-ANSWERED = 0.4  # seconds after it by which all are answered: those that came last have their time as well
-CLOSED = 0.6  # seconds after it by which the program ends
-RESERVED_DESCRIPTORS = 32  # descriptors for the loop, the log, the listener and discovery
+ACCEPT_GRACE_S = 0.5  # after SIGTERM, new connections still arrive for 0.2 to 0.4 s
+# SIGKILL follows SIGTERM after the longest deadline of the classes plus 0.7 s; a deadline longer than this one
+# counts as this one.
+MAX_COUNTED_DEADLINE_S = 3.0
+RESPONSE_GRACE_S = 0.4  # time after that deadline by which the last clients to connect are answered
+EXIT_GRACE_S = 0.6  # time after that deadline by which the process exits
+RESERVED_DESCRIPTORS = 32  # for the event loop, the log, the listener and discovery
 
 
 class ConfigError(ValueError):
-    """A configuration that can't be used; the message names the field."""
+    """A configuration that cannot be used; the message names the field."""
 
 
 @dataclass(slots=True, frozen=True)
 class Config:
-    """What the platform tells a router."""
+    """A router's configuration, as read from the file that `RELAY_CONFIG` names."""
 
     listen: tuple[str, int]
     discovery: str
@@ -52,7 +53,7 @@
 
 
 def read_address(table: dict[str, Any], field: str) -> str:
-    """A field of the form host:port."""
+    """Returns a field of the form host:port; raises `ConfigError`."""
     value = table.get(field)
     host, _, port = value.rpartition(":") if isinstance(value, str) else ("", "", "")
     if not host or not port.isdigit() or int(port) > 65535:
@@ -61,7 +62,7 @@
 
 
 def read_config(text: bytes) -> Config:
-    """Check a configuration."""
+    """Parses a JSON configuration; raises `ConfigError` naming the field that cannot be used."""
     try:
         table = orjson.loads(text)
     except orjson.JSONDecodeError as e:
@@ -85,7 +86,10 @@
 
 
 def read_peers(table: dict[str, Any]) -> tuple[str | None, list[str], str]:
-    """Where peers are heard, where they send from, and where all are told; a router may have none."""
+    """Returns the address to receive from peers, the peers' addresses, and the address that reaches them all.
+
+    Without `peer_listen` there are no peers. Raises `ConfigError`.
+    """
     if table.get("peer_listen") is None:
         return None, [], ""
     listen, peers = read_address(table, "peer_listen"), table.get("peers")
@@ -96,33 +100,33 @@
 
 
 def read_file(path: str) -> bytes:
-    """The configuration's text."""
+    """Returns the contents of the configuration file; raises `ConfigError` if it cannot be read."""
     try:
         return Path(path).read_bytes()
     except OSError as e:
         raise ConfigError(f"RELAY_CONFIG: {e}") from e
 
 
-def reread(path: str, discovery: DiscoveryClient, host: Host) -> None:
-    """Take what SIGHUP may change, the address of discovery; a file that can't be used changes nothing."""
+def reload_config(path: str, discovery: DiscoveryClient, host: Host) -> None:
+    """Applies the one field that SIGHUP reloads, the address of discovery; ignores an invalid file."""
     try:
         config = read_config(read_file(path))
     except ConfigError as e:
-        logging.error("configuration not taken: %s", e)
+        logging.error("configuration not reloaded, keeping the previous one: %s", e)
         return
-    logging.info("discovery is at %s", config.discovery)
+    logging.info("address of discovery: %s", config.discovery)
     if discovery.set_address(config.discovery):
         host.on_discovery_moved()
 
 
 async def serve(path: str) -> None:
-    """Serve until SIGTERM, and then what was taken."""
+    """Serves until SIGTERM or SIGINT, then until the accepted requests are answered."""
     config = read_config(read_file(path))
     settings = config.settings
-    room = config.sockets - RESERVED_DESCRIPTORS
+    budget = config.sockets - RESERVED_DESCRIPTORS
     dial, idle = settings.dial_timeout, settings.connection_idle
-    servers = Pool(CacheConnection, room * 3 // 8, dial, idle)
-    origin = Pool(OriginConnection, room // 8, dial, idle)
+    servers = Pool(CacheConnection, budget * 3 // 8, dial, idle)
+    origin = Pool(OriginConnection, budget // 8, dial, idle)
 
     def subscribe() -> None:
         discovery.subscribe()
@@ -133,33 +137,33 @@
     )
     host.on_server_list(api.ListKind.SAVED, config.known)
     if not settings.subscribe:
-        discovery.subscribe()  # the module does not ask for what is pushed; it comes by the same calls
+        discovery.subscribe()  # the module does not subscribe to pushed lists, which come by the same calls
     peers = None
     if config.peer_listen is not None:
         peers = PeerSocket(config.peer_listen, config.peers, config.peers_all, host.on_peer_message)
         host.broadcast = peers.broadcast
         await peers.start()
-    listener = Listener(host, room // 2)
+    listener = Listener(host, budget // 2)
     terminated = asyncio.Event()
     loop = asyncio.get_running_loop()
-    for each in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(each, terminated.set)
-    loop.add_signal_handler(signal.SIGHUP, reread, path, discovery, host)
+    for signum in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signum, terminated.set)
+    loop.add_signal_handler(signal.SIGHUP, reload_config, path, discovery, host)
     try:
         listener.start(config.listen)
     except OSError as e:
         raise ConfigError(f"listen: {e}") from e
     logging.info("listening on %s:%d", *listener.socket.getsockname())
     await terminated.wait()
-    logging.info("ending: no new connections in %g s", STILL_COMING)
-    longest = min(COUNTED, max(c.give_up for c in settings.classes.values()))
-    host.begin_shutdown(longest + ANSWERED)
-    await listener.stop(STILL_COMING, longest + CLOSED - STILL_COMING)
+    logging.info("shutting down: accepting connections for another %g s", ACCEPT_GRACE_S)
+    deadline = min(MAX_COUNTED_DEADLINE_S, max(c.give_up for c in settings.classes.values()))
+    host.begin_shutdown(deadline + RESPONSE_GRACE_S)
+    await listener.stop(ACCEPT_GRACE_S, deadline + EXIT_GRACE_S - ACCEPT_GRACE_S)
     discovery.close()
     if peers is not None:
         demand = host.router.demand
         logging.info(
-            "datagrams taken for none: %d unknown, %d garbled, %d late",
+            "datagrams ignored: %d from unknown senders or too long, %d garbled, %d late",
             peers.rejected,
             demand.garbled,
             demand.stale,
@@ -170,7 +174,7 @@
 
 
 def main() -> int:
-    """Run one router."""
+    """Runs one router. Returns the exit code, 2 if the configuration cannot be used."""
     logging.basicConfig(level=logging.INFO, format="%(asctime)s %(levelname)s %(message)s")
     path = os.environ.get("RELAY_CONFIG", "")
     try:
--- a/brackenwalk/net/__init__.py
+++ b/brackenwalk/net/__init__.py
@@ -1,1 +1,1 @@
-"""The real router's sockets, round the decision module."""
+"""The network layer of the real router, around the decision module."""
--- a/brackenwalk/net/clients.py
+++ b/brackenwalk/net/clients.py
@@ -147,7 +147,7 @@
             self.incomplete_bytes += len(chunk)
             self.reader.feed(chunk)
         if parts is not INCOMPLETE:
-            self.incomplete_bytes = self.reader.held()
+            self.incomplete_bytes = self.reader.buffered()
         return parts
 
     def _process_command(self, parts: object) -> None:
--- a/brackenwalk/net/command.py
+++ b/brackenwalk/net/command.py
@@ -1,4 +1,4 @@
-"""A client's command: its parts, what is checked of them, and the form in which it goes on."""
+"""Client commands: parsing, validation, and the list of names and values that is passed on."""
 
 from __future__ import annotations
 
@@ -9,13 +9,14 @@
 MAX_KEY_BYTES = 1024
 MAX_INFO_BYTES = 1024
 MAX_DEADLINE_MS = 600_000
-VISIBLE = re.compile(rb"[!-~]+")
-# the origin's own paths, and those that a path's readers resolve away: as keys they would be other requests
+VISIBLE_ASCII = re.compile(rb"[!-~]+")
+# Paths with a meaning of their own at the origin, and dot segments, which are removed when a path is
+# resolved. As keys they would be other requests.
 RESERVED_KEYS = (b".", b"..", b"stats", b"health/live")
 
 
 class CommandError(ValueError):
-    """A command that can't be taken; the message goes to the client."""
+    """A command that cannot be accepted; the message is sent to the client."""
 
 
 @dataclass(slots=True, frozen=True)
@@ -31,18 +32,19 @@
 
     @property
     def write(self) -> bool:
+        """Whether the command writes a value."""
         return self.value is not None
 
     def encode_info(self, time_left: float) -> bytes:
-        """The names and values in their order, with `d` telling how long the router will wait."""
-        told = self.info | {"d": str(max(1, int(time_left * 1000)))}
-        return ",".join(f"{name}={value}" for name, value in told.items()).encode()
+        """Returns the names and values in their order, with `d` set to `time_left` (in seconds) as ms."""
+        fields = self.info | {"d": str(max(1, int(time_left * 1000)))}
+        return ",".join(f"{name}={value}" for name, value in fields.items()).encode()
 
 
 def read_info(text: bytes) -> dict[str, str]:
-    """The list of names and values after the request's id."""
-    # guards the origin: a line break in here would go on as a header or a request of its own
-    if len(text) > MAX_INFO_BYTES or not VISIBLE.fullmatch(text):
+    """Parses the list of names and values behind the request id; raises `CommandError`."""
+    # Guards the origin: a line break would be passed on as the start of another header or request.
+    if len(text) > MAX_INFO_BYTES or not VISIBLE_ASCII.fullmatch(text):
         raise CommandError("names and values must be visible ASCII, 1024 bytes at most")
     info: dict[str, str] = {}
     for pair in text.decode().split(","):
@@ -54,7 +56,7 @@
 
 
 def read_command(parts: object) -> Command:
-    """Check the parts of a read or write."""
+    """Returns the command of a parsed RESP2 message; raises `CommandError`."""
     if not isinstance(parts, list) or not all(isinstance(p, bytes) for p in parts) or not parts:
         raise CommandError("a command is an array of bulk strings")
     verb = parts[0].upper()
@@ -62,17 +64,17 @@
         raise CommandError(f"unknown command {parts[0][:20]!r}")
     if len(parts) != (4 if verb == b"C.GET" else 5):
         raise CommandError(f"wrong number of arguments for {verb.decode()}")
-    key, request = parts[1], parts[2]
+    key, request_id = parts[1], parts[2]
     if not 0 < len(key) <= MAX_KEY_BYTES or key in RESERVED_KEYS:
         raise CommandError("key is empty, too long or reserved")
-    if len(request) > 64 or not VISIBLE.fullmatch(request):
+    if len(request_id) > 64 or not VISIBLE_ASCII.fullmatch(request_id):
         raise CommandError("request id must be visible ASCII, 64 bytes at most")
     info = read_info(parts[3])
     deadline = info.get("d", "")
-    # bounds how long a request is remembered: without it memory would fill with requests long answered
+    # Bounds how long a request stays in the table, which would otherwise fill with answered requests.
     if not deadline.isdigit() or len(deadline) > 9 or int(deadline) > MAX_DEADLINE_MS:
         raise CommandError("d must be a whole number of milliseconds, 600000 at most")
     value = parts[4] if verb == b"C.SET" else None
     if value is not None and len(value) > MAX_VALUE_BYTES:
         raise CommandError("value is longer than 65536 bytes")
-    return Command(parts[0], key, request, info, int(deadline), value)
+    return Command(parts[0], key, request_id, info, int(deadline), value)
--- a/brackenwalk/net/http.py
+++ b/brackenwalk/net/http.py
@@ -1,4 +1,4 @@
-"""One HTTP/1.1 request and its response at a time, as bytes in and out."""
+"""The client side of HTTP/1.1, without I/O: one request and its response at a time."""
 
 from __future__ import annotations
 
@@ -7,31 +7,32 @@
 
 import h11
 
-MAX_FRAMING_BYTES = 16 * 1024  # of a head, of a chunk's line, or of the last one's with the trailers
-MAX_INFORMATIONAL = 16  # answers before the one that counts
-# bytes of a head or of chunks that h11 gets together: those that it has not read are copied at each event
-PARSE_CHUNK_BYTES = 4096
-# guards against another end of a head or body than the sender's: h11 lets pass line ends without CR, folded
-# lines, other versions, control characters and chunk extensions of any form (RFC 9112, 2.2, 4, 5 and 7.1)
+MAX_FRAMING_BYTES = 16 * 1024  # limit for a head, a chunk header, or the last chunk header with the trailers
+MAX_INFORMATIONAL = 16  # limit on the informational responses before the final one
+# Bytes of a head or of chunks passed to h11 at once, as h11 copies all bytes not yet read at each event.
+FEED_BYTES = 4096
+# The grammar of heads and chunk headers. Guards against reading a head or body with another end than the
+# sender's: h11 also accepts line ends without CR, folded lines, other versions, control characters and chunk
+# extensions of any form (RFC 9112, sections 2.2, 4, 5 and 7.1).
 TEXT = rb"[\t \x21-\x7e\x80-\xff]"
 TOKEN = rb"[!#$%&'*+.^_`|~0-9A-Za-z-]+"
 FIELDS = rb"(?:" + TOKEN + rb":" + TEXT + rb"*\r\n)*\r\n"
 QUOTED = rb'"(?:[\t \x21\x23-\x5b\x5d-\x7e\x80-\xff]|\\' + TEXT + rb')*"'
 EXTENSION = rb"[ \t]*;[ \t]*" + TOKEN + rb"(?:[ \t]*=[ \t]*(?:" + TOKEN + rb"|" + QUOTED + rb"))?"
 HEAD = re.compile(rb"HTTP/1\.[0-9] [0-9]{3} " + TEXT + rb"*\r\n" + FIELDS)
-# each with the end of the chunk before it
+# Chunk headers, each with the line end of the chunk before it.
 CHUNK = re.compile(rb"(?:\r\n)?[0-9A-Fa-f]+(?:" + EXTENSION + rb")*\r\n")
 LAST_CHUNK = re.compile(rb"(?:\r\n)?0+(?:" + EXTENSION + rb")*\r\n" + FIELDS)
-LENGTHS = re.compile(rb"\r\ncontent-length:([^\r]*)", re.IGNORECASE)  # h11 tells but one of equal ones
+LENGTHS = re.compile(rb"\r\ncontent-length:([^\r]*)", re.IGNORECASE)  # h11 merges equal ones
 
 
 class HttpError(Exception):
-    """A response that breaks the protocol, the bound on its size, or off."""
+    """A response that violates the protocol, exceeds the limit on its size, or ends early."""
 
 
 @dataclass(slots=True, frozen=True)
 class Response:
-    """A whole response; header names are in lower case, and one that came twice has both values."""
+    """A complete response. Header names are in lower case; repeated headers are joined by commas."""
 
     status: int
     headers: dict[bytes, bytes]
@@ -39,29 +40,29 @@
 
 
 class HttpClient:
-    """The client's side of one connection."""
+    """The client side of one connection; `max_body` limits the bytes of a response's body."""
 
     def __init__(self, address: str, max_body: int) -> None:
         self.address = address
         self.max_body = max_body
         self.connection = h11.Connection(h11.CLIENT, MAX_FRAMING_BYTES)
         self.head: h11.Response | None = None
-        self.informational = 0  # of its answers so far
+        self.informational_count = 0  # responses of this exchange so far
         self.body = bytearray()
-        self.raw = b""  # bytes that came since h11's last event
-        self.step = PARSE_CHUNK_BYTES
+        self.raw = b""  # bytes received since h11's last event
+        self.feed_bytes = FEED_BYTES
 
     def request(
         self, method: str, target: str, headers: list[tuple[bytes, bytes]], body: bytes | None = None
     ) -> bytes:
-        """The bytes of a request."""
+        """Returns the bytes of a request, and prepares to receive its response."""
         if self.connection.our_state is not h11.IDLE:
             self.connection.start_next_cycle()
         self.head = None
-        self.informational = 0
+        self.informational_count = 0
         self.body.clear()
         self.raw = b""
-        self.step = PARSE_CHUNK_BYTES
+        self.feed_bytes = FEED_BYTES
         fields = [(b"Host", self.address.encode()), *headers]
         if body is not None:
             fields.append((b"Content-Length", str(len(body)).encode()))
@@ -72,14 +73,17 @@
         return b"".join(self.connection.send(e) or b"" for e in events)
 
     def receive(self, data: bytes) -> Response | None:
-        """Take bytes, none at the connection's end, and answer with the response once it is whole."""
-        response, at = None, 0
-        while at == 0 or at < len(data):
-            piece = data[at : at + self.step]
-            at += self.step
+        """Parses received bytes, or the end of the connection if empty.
+
+        Returns the response once it is complete, else None; raises `HttpError`.
+        """
+        response, offset = None, 0
+        while offset == 0 or offset < len(data):
+            part = data[offset : offset + self.feed_bytes]
+            offset += self.feed_bytes
             try:
-                self.connection.receive_data(piece)
-                self.raw += piece
+                self.connection.receive_data(part)
+                self.raw += part
                 response = response or self._read()
             except h11.RemoteProtocolError as e:
                 raise HttpError(str(e)) from e
@@ -87,26 +91,26 @@
 
     def _read(self) -> Response | None:
         while (event := self.connection.next_event()) is not h11.NEED_DATA:
-            raw = self._taken()
+            raw = self._consumed()
             if isinstance(event, (h11.Response, h11.InformationalResponse)):
                 self._check(HEAD, raw)
                 self._check_length(event, raw)
                 if isinstance(event, h11.Response):
                     self.head = event
                     chunked = any(name == b"transfer-encoding" for name, _ in event.headers)
-                    self.step = PARSE_CHUNK_BYTES if chunked else max(PARSE_CHUNK_BYTES, self.max_body)
+                    self.feed_bytes = FEED_BYTES if chunked else max(FEED_BYTES, self.max_body)
                 else:
-                    self.informational += 1
-                    if self.informational > MAX_INFORMATIONAL:
-                        raise HttpError(f"over {MAX_INFORMATIONAL} informational responses")
+                    self.informational_count += 1
+                    if self.informational_count > MAX_INFORMATIONAL:
+                        raise HttpError(f"more than {MAX_INFORMATIONAL} informational responses")
             elif isinstance(event, h11.Data):
                 if framing := raw[: -len(event.data)]:
                     self._check(CHUNK, framing)
                 self.body += event.data
                 if len(self.body) > self.max_body:
-                    raise HttpError(f"body of over {self.max_body} bytes")
+                    raise HttpError(f"body longer than {self.max_body} bytes")
             elif isinstance(event, h11.EndOfMessage) and self.head is not None:
-                if raw:  # other bodies end with their last byte
+                if raw:  # only chunked bodies have framing at their end
                     self._check(LAST_CHUNK, raw)
                     self._check_trailers(event)
                 headers: dict[bytes, bytes] = {}
@@ -114,36 +118,39 @@
                     headers[name] = headers[name] + b", " + value if name in headers else value
                 return Response(self.head.status_code, headers, bytes(self.body))
             else:
-                raise HttpError(f"no response but {event!r}")
+                raise HttpError(f"{event!r} instead of a response")
         return None
 
-    def _taken(self) -> bytes:
-        """The bytes that h11 has read for its last event."""
-        left, _ = self.connection.trailing_data
-        taken, self.raw = self.raw[: len(self.raw) - len(left)], left
-        return taken
+    def _consumed(self) -> bytes:
+        """Returns the bytes that h11 has consumed for its last event."""
+        unread, _ = self.connection.trailing_data
+        consumed, self.raw = self.raw[: len(self.raw) - len(unread)], unread
+        return consumed
 
     @staticmethod
     def _check(grammar: re.Pattern[bytes], framing: bytes) -> None:
         if len(framing) > MAX_FRAMING_BYTES or not grammar.fullmatch(framing):
-            raise HttpError(f"malformed, or over {MAX_FRAMING_BYTES} bytes: {framing[:80]!r}")
+            raise HttpError(f"framing is malformed or over {MAX_FRAMING_BYTES} bytes: {framing[:80]!r}")
 
     @staticmethod
     def _check_length(event: h11.Response | h11.InformationalResponse, head: bytes) -> None:
-        """Guards against a body that is not the sender's: h11 takes chunks before a length (RFC 9112, 6)."""
+        """Rejects ambiguous lengths, as h11 takes chunks before a length (RFC 9112, section 6).
+
+        Guards against reading a body with another end than the sender's.
+        """
         lengths = LENGTHS.findall(head)
         chunked = any(name == b"transfer-encoding" for name, _ in event.headers)
         if len(lengths) > 1 or b"," in b"".join(lengths):
-            raise HttpError("a repeated length")
+            raise HttpError("Content-Length is repeated")
         if chunked and (lengths or event.http_version == b"1.0"):
-            raise HttpError("chunks with a length, or of HTTP/1.0")
+            raise HttpError("chunked body with a Content-Length or in HTTP/1.0")
 
     @staticmethod
     def _check_trailers(event: h11.EndOfMessage) -> None:
         if any(name in (b"content-length", b"transfer-encoding") for name, _ in event.headers):
-            raise HttpError("a length after the body")
+            raise HttpError("trailers contain Content-Length or Transfer-Encoding")
 
     def reusable(self) -> bool:
-        """Whether another request may follow."""
-        ended = self.connection.our_state is self.connection.their_state is h11.DONE
-        return ended and not any(self.connection.trailing_data)  # neither bytes nor the connection's end
+        """Returns whether the connection may carry another request."""
+        done = self.connection.our_state is self.connection.their_state is h11.DONE
+        return done and not any(self.connection.trailing_data)  # neither extra bytes nor a close
--- a/brackenwalk/net/origin.py
+++ b/brackenwalk/net/origin.py
@@ -1,4 +1,4 @@
-"""Attempts on the origin, which speaks HTTP/1.1."""
+"""Connections to the origin, which speaks HTTP/1.1."""
 
 from __future__ import annotations
 
@@ -11,19 +11,21 @@
 
 
 class OriginConnection(Connection):
-    """A connection to the origin."""
+    """A connection to the origin: one request and its response at a time."""
 
     def __init__(self, pool: Pool, address: str) -> None:
         super().__init__(pool, address)
         self.client = HttpClient(address, MAX_VALUE_BYTES)
 
     def encode(self, command: Command, time_left: float) -> bytes:
-        # guards against a key that spells another path or a query: all but unreserved letters is escaped
+        """Returns the HTTP request for a command, with the time left as its deadline."""
+        # Guards against a key that contains a path or a query: escapes all but unreserved characters.
         target = "/" + quote_from_bytes(command.key, safe="")
         headers = [(b"Request-Id", command.request_id), (b"Request-Info", command.encode_info(time_left))]
         return self.client.request("PUT" if command.write else "GET", target, headers, command.value)
 
     def decode(self, data: bytes) -> AttemptResult | None:
+        """Maps a complete response to its outcome: the body, full if not started, or an error."""
         try:
             response = self.client.receive(data)
         except HttpError as e:
@@ -36,14 +38,15 @@
         return (Status.FULL if not_started else Status.ERROR), b""
 
     def eof_received(self) -> None:
-        """A body may end with its connection; one cut short is a reset, told by `connection_lost`."""
+        """Completes a body that ends with its connection; `connection_lost` reports a truncated one."""
         try:
-            answer = self.decode(b"")
+            result = self.decode(b"")
         except MalformedResponse:
             return
         exchange, self.exchange = self.exchange, None
-        if answer is not None and exchange is not None:
-            exchange.finish(*answer)
+        if result is not None and exchange is not None:
+            exchange.finish(*result)
 
     def reusable(self) -> bool:
+        """Returns whether another request may follow."""
         return self.client.reusable()
--- a/brackenwalk/net/peers.py
+++ b/brackenwalk/net/peers.py
@@ -24,7 +24,7 @@
     ) -> None:
         self.listen = parse_address(listen)
         self.peers = {parse_address(p) for p in peers} - {self.listen}
-        self.peers_all = parse_address(peers_all)
+        self.peers_all = parse_address(peers_all)  # what is sent to it reaches all peers
         self.on_message = on_message
         self.transport: asyncio.DatagramTransport | None = None
         self.rejected = 0  # datagrams not from a peer's address, or too long
--- a/tests/test_main.py
+++ b/tests/test_main.py
@@ -171,7 +171,9 @@
                 await served.resp()
                 path.write_bytes(b"{")
                 process.send_signal(signal.SIGHUP)
-                await wait_for_log(process.stderr, rb"configuration not taken: .*")
+                await wait_for_log(
+                    process.stderr, rb"configuration not reloaded, keeping the previous one: .*"
+                )
                 path.write_bytes(orjson.dumps({**config, "discovery": moved.address}))
                 process.send_signal(signal.SIGHUP)
                 assert "after=2&" in (await (await moved.link()).http())[0]
--- a/tests/test_net_resp.py
+++ b/tests/test_net_resp.py
@@ -5,7 +5,7 @@
 import hiredis
 import pytest
 
-from brackenwalk.net.resp import INCOMPLETE, MAX_LINE_BYTES, MAX_PARTS, Reader
+from brackenwalk.net.resp import INCOMPLETE, MAX_ELEMENTS, MAX_LINE_BYTES, Reader
 
 WHOLE = [
     (b"*2\r\n$3\r\nGET\r\n$9\r\n*9\r\n$9\r\n\r\r\n", [b"GET", b"*9\r\n$9\r\n\r"]),
@@ -28,7 +28,7 @@
 
 
 @pytest.mark.parametrize(
-    "header", [b"*%d\r\n" % (MAX_PARTS + 1), b"*2\r\n*2\r\n", b"%5\r\n", b"+" + b"x" * 9999]
+    "header", [b"*%d\r\n" % (MAX_ELEMENTS + 1), b"*2\r\n*2\r\n", b"%5\r\n", b"+" + b"x" * 9999]
 )
 @pytest.mark.parametrize("piece", [1, 5, 99999])
 def test_what_came_before_a_header_that_promises_too_much_is_still_told(header: bytes, piece: int) -> None:
@@ -46,4 +46,4 @@
     reader = Reader()
     for _ in range(3 * MAX_LINE_BYTES):
         reader.feed(b"x")
-    assert len(reader.line) <= MAX_LINE_BYTES and reader.fault
+    assert len(reader.line) <= MAX_LINE_BYTES and reader.error
