--- a/brackenwalk/__main__.py
+++ b/brackenwalk/__main__.py
@@ -24,8 +24,8 @@
 from brackenwalk.settings import number, read_settings, section
 
 ACCEPT_GRACE_S = 0.5  # after SIGTERM, new connections still arrive for 0.2 to 0.4 s
-# SIGKILL follows SIGTERM after the longest deadline of the classes plus 0.7 s; a deadline longer than this one
-# counts as this one.
+# SIGKILL follows SIGTERM after the longest deadline of the classes plus 0.7 s; a deadline above this limit
+# counts as the limit.
 MAX_COUNTED_DEADLINE_S = 3.0
 RESPONSE_GRACE_S = 0.4  # time after that deadline by which the last clients to connect are answered
 EXIT_GRACE_S = 0.6  # time after that deadline by which the process exits
