--- a/tests/test_net_host.py
+++ b/tests/test_net_host.py
@@ -1,4 +1,4 @@
-"""A router between clients, cache servers and an origin, over loopback."""
+"""The host and the client connections, between scripted clients, cache servers and an origin on loopback."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
     return str(message)
 
 
-def test_a_hit_is_passed_on() -> None:
+def test_hit_is_returned_to_the_client() -> None:
     async def scenario() -> None:
         async with Router() as router:
             client = await router.client()
@@ -46,14 +46,14 @@
             assert (verb, key, request) == (b"C.GET", b"key", b"r1")
             named = dict(pair.split("=") for pair in info.decode().split(","))
             assert list(named) == ["c", "t", "d", "h", "size"] and named["size"] == "7"
-            assert 0 < int(named["d"]) < 2000  # what is left
+            assert 0 < int(named["d"]) < 2000  # the remaining time
             cache.write(HIT)
             assert await client.resp() == b"value"
 
     run(scenario)
 
 
-def test_a_miss_is_fetched_from_the_origin() -> None:
+def test_miss_is_fetched_from_the_origin() -> None:
     async def scenario() -> None:
         async with Router() as router:
             client, cache = await router.begun()
@@ -67,7 +67,7 @@
     run(scenario)
 
 
-def test_a_write_goes_to_the_origin_whole() -> None:
+def test_write_goes_to_the_origin_unchanged() -> None:
     async def scenario() -> None:
         async with Router() as router:
             client = await router.client()
@@ -82,8 +82,8 @@
     run(scenario)
 
 
-def test_answers_come_in_the_order_of_the_commands() -> None:
-    """Answered in another order, each client would take another request's value for its own."""
+def test_responses_keep_the_order_of_the_commands() -> None:
+    """In another order, a client would take the value of another request for its own."""
 
     async def scenario() -> None:
         async with Router() as router:
@@ -92,18 +92,18 @@
             links = [await router.cache(), await router.cache()]
             by_request = {(await link.resp())[2]: link for link in links}
             by_request[b"r2"].write(HIT.replace(b"value", b"later"))
-            await by_request_ended(router, "r2")
+            await wait_until_closed(router, "r2")
             by_request[b"r1"].write(HIT)
             assert [await client.resp() for _ in range(3)] == [b"value", b"later", b"PONG"]
 
-    async def by_request_ended(router: Router, name: str) -> None:
+    async def wait_until_closed(router: Router, name: str) -> None:
         while not router.host.requests[name].closed:
             await asyncio.sleep(0)
 
     run(scenario)
 
 
-def test_a_busy_server_is_left_for_another() -> None:
+def test_reset_attempt_is_retried_at_another_server() -> None:
     async def scenario() -> None:
         async with Router() as router:
             client, first = await router.begun()
@@ -116,8 +116,8 @@
     run(scenario)
 
 
-def test_a_client_that_leaves_takes_its_attempts_along() -> None:
-    """Cache servers would go on working for nobody."""
+def test_disconnect_ends_the_attempts_of_the_client() -> None:
+    """Otherwise cache servers would go on with work whose result nobody receives."""
 
     async def scenario() -> None:
         async with Router() as router:
@@ -129,8 +129,8 @@
     run(scenario)
 
 
-def test_the_deadline_ends_what_is_silent() -> None:
-    """A client that is not answered in time counts its request as lost."""
+def test_request_without_a_response_is_refused_at_its_deadline() -> None:
+    """A client that gets no response by its deadline counts the request as lost."""
 
     async def scenario() -> None:
         async with Router() as router:
@@ -145,7 +145,7 @@
 
 
 @pytest.mark.parametrize("info", ["c=unheard-of,d=900", "t=x,d=900"])
-def test_an_unknown_class_is_taken_as_unsafe_and_refused(info: str) -> None:
+def test_request_of_an_unknown_class_is_refused(info: str) -> None:
     async def scenario() -> None:
         async with Router() as router:
             client = await router.client()
@@ -158,7 +158,7 @@
 BAD_COMMANDS = [
     (command("GET", "k"), "unknown command"),
     (command("CLIENT", "LIST"), "unknown command"),
-    (command("A\r\n+PONG"), "unknown command"),  # said back as it came, it would be a second answer
+    (command("A\r\n+PONG"), "unknown command"),  # echoed unescaped, it would read as a second response
     (command("C.GET", "k", "r1"), "wrong number"),
     (command("C.SET", "k", "r1", "c=book,d=900"), "wrong number"),
     (command("C.GET", "", "r1", "c=read,d=900"), "key"),
@@ -183,13 +183,13 @@
 ]
 
 
-@pytest.mark.parametrize(("sent", "said"), BAD_COMMANDS)
-def test_a_bad_command_gets_an_error_and_no_more(sent: bytes, said: str) -> None:
+@pytest.mark.parametrize(("sent", "expected"), BAD_COMMANDS)
+def test_invalid_command_gets_one_error_and_no_request(sent: bytes, expected: str) -> None:
     async def scenario() -> None:
         async with Router() as router:
             client = await router.client()
             client.write(sent + command("PING"))
-            assert said in error(await client.resp())
+            assert expected in error(await client.resp())
             assert await client.resp() == b"PONG"
             assert not router.host.requests
 
@@ -201,7 +201,7 @@
     b"\x00\xff",
     b"*x\r\n",
     b"*9999999999\r\n",
-    b"*1000000000\r\n",  # room for it would be set aside, and the router would stand while freeing that
+    b"*1000000000\r\n",  # an array of this size would be allocated, and freeing it would block the event loop
     b"*1\r\n*1000000000\r\n",
     b"~1000000000\r\n",
     b"+" + b"x" * 5000,
@@ -209,8 +209,8 @@
 
 
 @pytest.mark.parametrize("sent", NO_FRAMING)
-def test_lost_framing_ends_the_connection(sent: bytes) -> None:
-    """Anything read after it might be a part of a value, carried out as a command."""
+def test_framing_error_closes_the_connection(sent: bytes) -> None:
+    """Bytes read after it might be a part of a value and be executed as a command."""
 
     async def scenario() -> None:
         async with Router() as router:
@@ -224,8 +224,8 @@
     run(scenario)
 
 
-def test_a_command_without_end_is_cut_off() -> None:
-    """It would be held in memory until the router is killed for it."""
+def test_endless_command_is_rejected() -> None:
+    """Buffering it would exhaust the memory limit, and the router would be killed."""
 
     async def scenario() -> None:
         async with Router() as router:
@@ -237,26 +237,26 @@
 
 
 @pytest.mark.parametrize("sent", [b"", b"*4\r\n$5\r\nC.G", command("GET", "k")])
-def test_a_peer_without_a_proper_command_is_ended_in_time(
+def test_client_without_a_valid_command_is_closed_in_time(
     sent: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Such peers stayed for good, and each held a descriptor that a client could have had."""
+    """Such connections stayed open for ever, each holding a descriptor that a client needed."""
     monkeypatch.setattr(clients, "FIRST_COMMAND_TIMEOUT_S", 0.2)
 
     async def scenario() -> None:
         async with Router() as router:
-            peer, client = await router.client(), await router.client()
+            silent, client = await router.client(), await router.client()
             client.write(command("PING"))
             assert await client.resp() == b"PONG"
-            peer.write(sent)
-            assert b"-ERR no command came in time" in await peer.reader.read()
-            client.write(command("PING"))  # one that has shown itself may be silent for as long as it likes
+            silent.write(sent)
+            assert b"-ERR no command came in time" in await silent.reader.read()
+            client.write(command("PING"))  # after a valid command there is no time limit
             assert await client.resp() == b"PONG"
 
     run(scenario)
 
 
-def test_more_commands_than_are_held_are_read_later() -> None:
+def test_commands_above_the_pipeline_limit_are_processed_later() -> None:
     async def scenario() -> None:
         async with Router() as router:
             client = await router.client()
@@ -272,8 +272,8 @@
     run(scenario)
 
 
-def test_what_waits_unread_is_bounded() -> None:
-    """One client could make the router hold requests without end."""
+def test_pipelined_requests_are_limited() -> None:
+    """Otherwise one client could make the router hold any number of requests."""
 
     async def scenario() -> None:
         async with Router() as router:
@@ -287,8 +287,8 @@
     run(scenario)
 
 
-def test_nothing_is_taken_from_a_connection_that_is_closing() -> None:
-    """Its client is gone, and what is taken after that would be worked on to its deadline for nobody."""
+def test_closing_connection_accepts_no_commands() -> None:
+    """The client has disconnected; a request accepted after that would be processed until its deadline."""
 
     async def scenario() -> None:
         async with Router() as router:
@@ -308,7 +308,7 @@
     run(scenario)
 
 
-def test_an_id_in_use_is_not_taken_again() -> None:
+def test_request_id_in_use_is_rejected() -> None:
     async def scenario() -> None:
         async with Router() as router:
             other = await router.client()
@@ -321,7 +321,7 @@
     run(scenario)
 
 
-def test_ping_is_answered_once_a_server_is_known() -> None:
+def test_ping_succeeds_once_a_server_is_known() -> None:
     async def scenario() -> None:
         async with Router(listed=False) as router:
             client = await router.client()
@@ -334,8 +334,8 @@
     run(scenario)
 
 
-def test_a_fault_ends_its_connection_alone(monkeypatch: pytest.MonkeyPatch) -> None:
-    """One request that the code can't handle would take the whole router, and all it has taken, along."""
+def test_internal_error_closes_only_its_connection(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Otherwise one request that raises an exception would end the router with all its requests."""
 
     async def scenario() -> None:
         async with Router() as router:
@@ -352,8 +352,8 @@
     run(scenario)
 
 
-def test_clients_stay_within_their_budget() -> None:
-    """Past the limit on descriptors nothing works: no attempt and no list. Idle clients make room."""
+def test_idle_clients_are_closed_when_the_budget_is_full() -> None:
+    """Above the descriptor limit no attempt and no call to discovery can open a socket."""
 
     async def scenario() -> None:
         async with Router(clients=2) as router:
@@ -369,8 +369,8 @@
     run(scenario)
 
 
-def test_a_new_client_waits_while_all_others_are_busy() -> None:
-    """Closed for its own sake, it would take its first request along."""
+def test_new_client_is_served_while_all_others_are_busy() -> None:
+    """Closing the new connection itself to stay within the budget would lose its first request."""
 
     async def scenario() -> None:
         async with Router(clients=1) as router:
@@ -387,8 +387,8 @@
     run(scenario)
 
 
-def test_a_failed_accept_is_tried_again_without_a_spin(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Out of descriptors, a loop that ended would leave the router deaf, and one that spun would stop it."""
+def test_failed_accept_is_retried_without_a_busy_loop(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Out of descriptors, an accept loop that ends takes no more clients, and one that spins blocks all."""
 
     async def scenario() -> None:
         async with Router() as router:
@@ -407,13 +407,15 @@
                 client = await router.client()
                 client.write(command("PING"))
                 assert await client.resp() == b"PONG"
-            assert calls <= 6  # the failed one, and for each client one and another that finds no more
+            assert (
+                calls <= 6
+            )  # the failed one, and for each client one that succeeds and one that finds none left
 
     run(scenario)
 
 
-def test_half_a_command_does_not_hold_up_the_end() -> None:
-    """The router would be killed while it waits for a client that never goes on."""
+def test_incomplete_command_does_not_delay_shutdown() -> None:
+    """Otherwise the router would be killed while it waits for a command that never completes."""
 
     async def scenario() -> None:
         async with Router() as router:
@@ -427,15 +429,15 @@
     run(scenario)
 
 
-def test_stopping_serves_what_was_taken() -> None:
-    """What a router had taken and not answered when it ended is lost."""
+def test_stop_serves_accepted_requests() -> None:
+    """A request without a response when the process exits is lost."""
 
     async def scenario() -> None:
         async with Router() as router:
             idle = await router.client()
             busy, cache = await router.begun()
             stop = asyncio.create_task(router.listener.stop(0.05, 5.0))
-            late = await router.client()  # connections still come
+            late = await router.client()  # new connections still arrive
             late.write(command("PING"))
             assert await late.resp() == b"PONG"
             assert await idle.ended() and await late.ended() and not stop.done()
@@ -449,19 +451,19 @@
     run(scenario)
 
 
-# A client that leaves: nothing of its requests may go out any more
+# Clients that disconnect: nothing of their requests may be sent afterwards
 
 
-async def left(router: Router) -> None:
-    """Wait until the router has noticed that no client is there."""
+async def wait_for_disconnects(router: Router) -> None:
+    """Waits until the router has noticed that all clients have disconnected."""
     while router.listener.connections:
         await asyncio.sleep(0.01)
-    assert all(taken.closed for taken in router.host.requests.values())
+    assert all(tracked.closed for tracked in router.host.requests.values())
     assert not router.host.router.held
 
 
-def test_a_client_that_leaves_while_nothing_is_read_from_it_is_noticed() -> None:
-    """With as many commands waiting as are held, asyncio tells of no end, and all went on to be worked on."""
+def test_disconnect_is_detected_while_reading_is_paused() -> None:
+    """At the pipeline limit reading is paused, asyncio reports no disconnect, and all requests went on."""
 
     async def scenario() -> None:
         async with Router() as router:
@@ -471,13 +473,13 @@
             while len(router.host.requests) < MAX_PIPELINED:
                 await asyncio.sleep(0)
             client.close()
-            await left(router)
+            await wait_for_disconnects(router)
 
     run(scenario)
 
 
-def test_a_client_that_leaves_after_a_fault_of_its_own_is_noticed() -> None:
-    """Nothing more is taken from it while earlier answers are owed; what it sends meanwhile is not kept."""
+def test_disconnect_is_detected_after_a_framing_error() -> None:
+    """While earlier responses are outstanding, further input is read to detect it, and not buffered."""
 
     async def scenario() -> None:
         async with Router() as router:
@@ -488,15 +490,15 @@
             client.write(b"x" * 3 * MAX_COMMAND_BYTES)
             await client.writer.drain()
             client.close()
-            await left(router)
+            await wait_for_disconnects(router)
             assert await cache.ended()
             assert connection.incomplete_bytes + len(connection.unparsed) <= 100_000 + 65_536
 
     run(scenario)
 
 
-def test_a_client_that_leaves_with_answers_unread_is_noticed() -> None:
-    """Its connection is not lost before they are written, which may be never."""
+def test_disconnect_is_detected_with_unread_responses() -> None:
+    """asyncio reports the connection as lost only once they are written, which may never happen."""
 
     async def scenario() -> None:
         async with Router(replace(SETTINGS, second_copies=False)) as router:
@@ -506,8 +508,8 @@
             while not router.listener.connections:
                 await asyncio.sleep(0)
             (connection,) = router.listener.connections
-            ours = connection.transport.get_extra_info("socket")
-            ours.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
+            router_socket = connection.transport.get_extra_info("socket")
+            router_socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
             count, size = 12, 65_536
             client.write(b"".join(read(f"r{n}", info="c=read,t=x,d=60000") for n in range(count)))
             value = b"*3\r\n$%d\r\n%b\r\n$3\r\nhit\r\n$-1\r\n" % (size, b"v" * size)
@@ -525,36 +527,36 @@
             while connection.writable:
                 await asyncio.sleep(0.01)
             client.writer.write_eof()
-            await left(router)
+            await wait_for_disconnects(router)
             for task in tasks:
                 task.cancel()
 
     run(scenario)
 
 
-def test_a_command_whose_client_has_left_already_is_not_sent_on() -> None:
-    """Both came at once, after a wait among those not accepted yet."""
+def test_command_followed_by_a_disconnect_starts_no_attempt() -> None:
+    """Both arrive in one turn of the event loop, after a wait in the accept queue."""
 
     async def scenario() -> None:
         async with Router() as router:
-            gone = socket.create_connection(router.listener.socket.getsockname())
-            gone.sendall(read("r1"))
-            gone.close()
+            leaver = socket.create_connection(router.listener.socket.getsockname())
+            leaver.sendall(read("r1"))
+            leaver.close()
             client = await router.client()
             client.write(command("PING"))
             assert await client.resp() == b"PONG"
             client.close()
-            await left(router)
+            await wait_for_disconnects(router)
             assert not router.host.requests and all(p.links.empty() for p in router.caches.values())
 
     run(scenario)
 
 
 @pytest.mark.parametrize("may_cancel", [True, False])
-def test_a_dial_under_way_is_dropped_with_its_client(
+def test_dial_is_cancelled_when_the_client_disconnects(
     may_cancel: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """It went on to write the request of a client that had left, where attempts may not be cancelled."""
+    """Where attempts may not be cancelled, the request was still written when the dial completed."""
 
     async def scenario() -> None:
         async with Router(replace(SETTINGS, may_cancel=may_cancel)) as router:
@@ -562,49 +564,47 @@
             client = await router.client()
             connect = loop.create_connection
 
-            async def held_back(*args: Any) -> Any:
+            async def delayed(*args: Any) -> Any:
                 await gate.wait()
                 return await connect(*args)
 
-            monkeypatch.setattr(loop, "create_connection", held_back)
+            monkeypatch.setattr(loop, "create_connection", delayed)
             client.write(read("r1"))
             while not router.servers.dials:
                 await asyncio.sleep(0)
             client.close()
-            await left(router)
+            await wait_for_disconnects(router)
             gate.set()
             while router.servers.dials:
                 await asyncio.sleep(0)
-            await asyncio.sleep(0.05)  # for a connection that has been made to reach the cache's end
+            await asyncio.sleep(0.05)  # time for a connection to reach the cache's end
             assert all(p.links.empty() for p in router.caches.values())
             assert not router.servers.connections and not router.host.router.attempts
 
     run(scenario)
 
 
-@pytest.mark.parametrize("news", ["drains", "is gone", "has moved", "started again"])
-def test_a_connection_that_comes_up_late_carries_nothing_to_a_server_that(
-    news: str, monkeypatch: pytest.MonkeyPatch
-) -> None:
-    """The request was written whenever the dial ended, whatever the list had told since."""
+@pytest.mark.parametrize("change", ["drains", "is gone", "has moved", "started again"])
+def test_late_dial_sends_nothing_to_a_server_that(change: str, monkeypatch: pytest.MonkeyPatch) -> None:
+    """The request was written when the dial completed, although the list had changed in the meantime."""
 
     async def scenario() -> None:
         async with Router() as router:
             loop, gate = asyncio.get_running_loop(), asyncio.Event()
             router.list("a")
             client = await router.client()
-            connect, held = loop.create_connection, 0
+            connect, dial_count = loop.create_connection, 0
 
-            async def held_back(*args: Any) -> Any:
-                nonlocal held
-                held += 1
-                if held == 1:
+            async def delayed(*args: Any) -> Any:
+                nonlocal dial_count
+                dial_count += 1
+                if dial_count == 1:
                     await gate.wait()
                 return await connect(*args)
 
-            monkeypatch.setattr(loop, "create_connection", held_back)
+            monkeypatch.setattr(loop, "create_connection", delayed)
             client.write(read("r1"))
-            while not held:
+            while not dial_count:
                 await asyncio.sleep(0)
             known, other = router.host.members["a"], router.caches["b"].address
             changed = {
@@ -612,29 +612,29 @@
                 "is gone": replace(known, entry=replace(known.entry, state=api.State.GONE)),
                 "has moved": replace(known, address=other),
                 "started again": replace(known, entry=replace(known.entry, since=1.0)),
-            }[news]
+            }[change]
             router.host.on_server_list(api.ListKind.DELTA, [changed, member("b", other)])
-            second = await router.caches["b"].link() if news != "started again" else await router.cache()
+            second = await router.caches["b"].link() if change != "started again" else await router.cache()
             assert (await second.resp())[2] == b"r1"
             gate.set()
             second.write(HIT)
             assert await client.resp() == b"value"
             while router.servers.dials:
                 await asyncio.sleep(0)
-            await asyncio.sleep(0.05)  # for a connection that has been made to reach the server's end
+            await asyncio.sleep(0.05)  # time for a connection to reach the server's end
             assert router.caches["a"].links.empty() and router.caches["b"].links.empty()
 
     run(scenario)
 
 
-def test_clients_that_have_connected_are_served_when_accepting_ends() -> None:
-    """The system had accepted them: closed with the listener they were reset, and what they sent was lost."""
+def test_clients_in_the_accept_queue_are_served_at_shutdown() -> None:
+    """The kernel had accepted them. Closing the listener reset them, and their commands were lost."""
 
     async def scenario() -> None:
         async with Router() as router:
-            where = router.listener.socket.getsockname()
-            connected = [socket.create_connection(where, timeout=PATIENCE) for _ in range(3)]
-            for client in connected:  # the loop has not run since: none is accepted yet
+            address = router.listener.socket.getsockname()
+            connected = [socket.create_connection(address, timeout=PATIENCE) for _ in range(3)]
+            for client in connected:  # the event loop has not run yet, so none is accepted
                 client.sendall(command("PING"))
             await router.listener.stop(0.0, 5.0)
             for client in connected:
@@ -645,8 +645,8 @@
 
 
 @pytest.mark.parametrize("may_cancel", [True, False])
-def test_all_have_their_final_answer_when_the_router_ends(may_cancel: bool) -> None:
-    """What a hung server had was lost when its deadline came after the end of the process."""
+def test_all_requests_are_answered_before_exit(may_cancel: bool) -> None:
+    """Requests at a hanging server were lost if their deadlines were later than the process's exit."""
 
     async def scenario() -> None:
         async with Router(replace(SETTINGS, may_cancel=may_cancel, second_copies=False)) as router:
@@ -667,11 +667,11 @@
     run(scenario)
 
 
-# The host alone: what the simulator does for the module
+# The host alone, with scripted actions
 
 
-def test_events_that_come_while_actions_run_wait_their_turn(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Entered again, the module would go on with a state that the first call has not finished."""
+def test_events_posted_while_actions_run_are_queued(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A nested call would enter the module in a state that the outer call has not finished changing."""
 
     async def scenario() -> None:
         async with Router(listed=False) as router:
@@ -694,7 +694,7 @@
     run(scenario)
 
 
-def test_sends_of_no_use_are_moot_and_answers_come_once(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_useless_sends_are_moot_and_only_one_response_is_sent(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
         async with Router(replace(SETTINGS, max_attempts=1)) as router:
             seen: list[api.Outcome] = []
@@ -713,15 +713,15 @@
             client.write(read("r1") + command("PING"))
             assert error(await client.resp()) == "BUSY 250"
             assert await client.resp() == b"PONG"
-            ends = [(o.attempt, o.status, o.closed) for o in seen]
-            # the first still dialled: it was never sent either, and there is nothing left to cancel
+            outcomes = [(o.attempt, o.status, o.closed) for o in seen]
+            # The first was still being dialled: it was never sent either, and cancelling it has no effect.
             moot = api.Status.MOOT
-            assert ends == [(1, moot, False), (0, moot, True), (2, moot, True)]
+            assert outcomes == [(1, moot, False), (0, moot, True), (2, moot, True)]
 
     run(scenario)
 
 
-def test_an_attempt_times_out_at_its_own_limit(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_attempt_times_out_at_its_own_timeout(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
         async with Router() as router:
 
