--- a/tests/test_main.py
+++ b/tests/test_main.py
@@ -1,4 +1,4 @@
-"""The program: its configuration and its signals."""
+"""The router process: configuration and signals."""
 
 from __future__ import annotations
 
@@ -32,17 +32,17 @@
 }
 
 
-def test_a_configuration_is_read() -> None:
+def test_configuration_is_parsed() -> None:
     config = program.read_config(orjson.dumps(VALID_CONFIG))
     assert (config.listen, config.discovery) == (("127.0.0.1", 6379), "127.0.0.1:8500")
     assert (config.seed, config.sockets, config.known_index) == (0x8C1F30D27A5BE964, 1024, 41)
     assert [m.entry.server for m in config.known] == ["s-1"]
     assert config.settings.classes["pay"].window == 5.0
     assert config.peer_listen is None
-    ours, other, everyone = (f"127.0.0.1:{port}" for port in (1, 2, 3))
-    talks: dict[str, Any] = {"peer_listen": ours, "peers": [ours, other], "peers_all": everyone}
-    config = program.read_config(orjson.dumps({**VALID_CONFIG, **talks}))
-    assert [config.peer_listen, config.peers, config.peers_all] == list(talks.values())
+    own, other, all_peers = (f"127.0.0.1:{port}" for port in (1, 2, 3))
+    peer_config: dict[str, Any] = {"peer_listen": own, "peers": [own, other], "peers_all": all_peers}
+    config = program.read_config(orjson.dumps({**VALID_CONFIG, **peer_config}))
+    assert [config.peer_listen, config.peers, config.peers_all] == list(peer_config.values())
 
 
 @pytest.mark.parametrize(
@@ -66,7 +66,7 @@
         ({"settings": {**CONF, "limits": {"dialTimeout": "x"}}}, "limits.dialTimeout"),
     ],
 )
-def test_an_unusable_configuration_ends_the_start_in_one_line(
+def test_invalid_configuration_exits_with_one_line(
     change: dict[str, Any],
     field: str,
     tmp_path: Path,
@@ -82,7 +82,7 @@
 
 
 @pytest.mark.parametrize("text", [None, b"", b"{", b"[]"])
-def test_no_configuration_ends_the_start_in_one_line(
+def test_missing_configuration_exits_with_one_line(
     text: bytes | None, tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     path = tmp_path / "config.json"
@@ -93,7 +93,7 @@
     assert len(capsys.readouterr().err.splitlines()) == 1
 
 
-def test_an_address_in_use_ends_the_start_in_one_line(
+def test_address_in_use_exits_with_one_line(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     with socket.create_server(("127.0.0.1", 0)) as taken:
@@ -105,30 +105,30 @@
 
 
 async def connect_ready(address: tuple[str, int]) -> Link:
-    """A client's connection that has been answered."""
+    """Returns a client connection on which a PING has been answered."""
     client = Link(*await asyncio.open_connection(*address))
     client.write(command("PING"))
     assert await client.resp() == b"PONG"
     return client
 
 
-async def wait_for_log(log: asyncio.StreamReader | None, what: bytes) -> bytes:
-    """The next line of the log that has these words."""
+async def wait_for_log(log: asyncio.StreamReader | None, pattern: bytes) -> bytes:
+    """Returns the text that a regular expression matches in the next line of the log to match it."""
     assert log is not None
-    while (found := re.search(what, await log.readline())) is None:
+    while (match := re.search(pattern, await log.readline())) is None:
         assert not log.at_eof()
-    return found[0]
+    return match[0]
 
 
 async def listening_address(log: asyncio.StreamReader | None) -> tuple[str, int]:
-    """Where the program says that it listens."""
+    """Returns the address that the process logs that it listens on."""
     return parse_address(
         (await wait_for_log(log, rb"listening on [0-9.]+:\d+")).decode().removeprefix("listening on ")
     )
 
 
 async def launch(path: Path, config: dict[str, Any]) -> asyncio.subprocess.Process:
-    """The program in a process of its own, with a configuration at this path; its log is standard error."""
+    """Starts a router process with a configuration at this path; its log is on standard error."""
     path.write_bytes(orjson.dumps(config))
     return await asyncio.create_subprocess_exec(
         sys.executable,
@@ -140,10 +140,10 @@
 
 
 @pytest.mark.parametrize("mode", ["subscribe", "automatic"])
-def test_the_program_serves_moves_and_ends_when_nothing_is_owed(mode: str, tmp_path: Path) -> None:
-    """Ended too early it loses what it has taken; too late it is killed with what it holds.
+def test_process_serves_reloads_and_exits_once_all_is_answered(mode: str, tmp_path: Path) -> None:
+    """An exit too early loses accepted requests; one too late is cut short by SIGKILL, with the same loss.
 
-    SIGHUP ends nothing, whatever the file says by then.
+    SIGHUP must not end the process, whatever the file contains by then.
     """
 
     async def scenario() -> None:
@@ -191,8 +191,8 @@
     run(scenario)
 
 
-def test_a_hung_server_does_not_outlast_the_end(tmp_path: Path) -> None:
-    """SIGKILL comes by the longest deadline of the settings: until then all must have had their answers."""
+def test_hanging_server_does_not_delay_exit(tmp_path: Path) -> None:
+    """SIGKILL follows after the longest deadline of the settings; all must be answered before it."""
 
     async def scenario() -> None:
         async with Peer() as cache, Peer() as discovery:
@@ -212,7 +212,7 @@
                 process.send_signal(signal.SIGTERM)
                 process.send_signal(signal.SIGTERM)
                 process.send_signal(signal.SIGHUP)
-                async with asyncio.timeout(3.0):  # three times as long as until SIGKILL
+                async with asyncio.timeout(3.0):  # three times the time until SIGKILL
                     for client in clients:
                         assert isinstance(await client.resp(), Exception) and await client.ended()
                 assert await process.wait() == 0
@@ -223,8 +223,8 @@
     run(scenario)
 
 
-def test_lists_of_a_thousand_are_taken_whole(tmp_path: Path) -> None:
-    """A thousand servers and as many routers: it starts, serves, hears of changes and stays small."""
+def test_router_serves_with_a_thousand_servers_and_routers(tmp_path: Path) -> None:
+    """With 1024 servers and routers it starts, serves, takes list updates and stays within its memory."""
 
     async def scenario() -> None:
         async with Peer() as cache, Peer() as discovery:
@@ -233,9 +233,9 @@
             ]
             known = {"index": 1, "snapshot": True, "endpoints": lines}
             peers = ["127.0.0.1:0", *(f"127.1.{i // 256}.{i % 256}:7946" for i in range(1023))]
-            talks = {"peer_listen": peers[0], "peers": peers, "peers_all": "127.1.255.255:7946"}
+            peer_config = {"peer_listen": peers[0], "peers": peers, "peers_all": "127.1.255.255:7946"}
             settings = {**CONF, "siblings": 1024, "limits": {**CONF["limits"], "peers": True}}
-            config = {**VALID_CONFIG, **talks, "settings": settings, "known": known}
+            config = {**VALID_CONFIG, **peer_config, "settings": settings, "known": known}
             config |= {"listen": "127.0.0.1:0", "discovery": discovery.address}
             path = tmp_path / "config.json"
             process = await launch(path, config)
--- a/tests/test_net_discovery.py
+++ b/tests/test_net_discovery.py
@@ -1,4 +1,4 @@
-"""The watch on discovery's list, over loopback."""
+"""The discovery client: parsing of lists, and the watch, over loopback."""
 
 from __future__ import annotations
 
@@ -26,12 +26,12 @@
 }
 
 
-def message(index: int, whole: bool, *lines: dict[str, Any]) -> bytes:
-    return orjson.dumps({"index": index, "snapshot": whole, "endpoints": lines})
+def message(index: int, is_full: bool, *lines: dict[str, Any]) -> bytes:
+    return orjson.dumps({"index": index, "snapshot": is_full, "endpoints": lines})
 
 
 class WatchRecorder:
-    """What a watch tells its router, in order; a failure is None."""
+    """Records the lists and failures that a client reports, in order; a failure is None."""
 
     def __init__(self, peer: Peer) -> None:
         self.news: asyncio.Queue[tuple[api.ListKind, list[Member]] | None] = asyncio.Queue()
@@ -49,17 +49,17 @@
     return (await link.http())[0], link
 
 
-def test_an_entry_is_read() -> None:
-    index, whole, (member,) = read_list(orjson.loads(message(7, True, ENTRY)))
-    assert (index, whole, member.address) == (7, True, "127.0.0.9:6379")
+def test_list_is_parsed() -> None:
+    index, is_full, (member,) = read_list(orjson.loads(message(7, True, ENTRY)))
+    assert (index, is_full, member.address) == (7, True, "127.0.0.9:6379")
     entry = api.ServerEntry("s-1", api.State.READY, "m2", "a", 3, 1.5, 1_790_000_000.25)
-    assert member.entry == entry  # named as at every router, since on the host's own clock
+    assert member.entry == entry  # `since` in seconds of Unix time
     _, _, (old,) = read_list(orjson.loads(message(7, True, {**ENTRY, "since_ms": 0})))
     assert old.entry.since == 0
 
 
 @pytest.mark.parametrize(
-    ("change", "named"),
+    ("change", "field"),
     [
         ({"name": 5}, "name"),
         ({"address": "nowhere"}, "address"),
@@ -70,46 +70,46 @@
         ({"since_ms": None}, "since_ms"),
     ],
 )
-def test_a_malformed_entry_is_named(change: dict[str, Any], named: str) -> None:
-    with pytest.raises(ListError, match=rf"^known\.endpoints\[1\]\.{named}"):
+def test_error_names_the_malformed_field(change: dict[str, Any], field: str) -> None:
+    with pytest.raises(ListError, match=rf"^known\.endpoints\[1\]\.{field}"):
         read_list({"index": 1, "snapshot": True, "endpoints": [ENTRY, {**ENTRY, **change}]}, "known")
 
 
-def test_a_watch_goes_on_from_what_it_was_told() -> None:
+def test_watch_continues_from_the_latest_index() -> None:
     async def scenario() -> None:
         async with Peer() as peer:
-            told = WatchRecorder(peer)
+            recorder = WatchRecorder(peer)
             first, link = await call(peer)
             assert first == "GET /registry/instances?after=41&wait_ms=3000 HTTP/1.1"
             link.write(http("200 OK", message(43, False, {**ENTRY, "status": "terminating"})))
-            kind, (member,) = await told.news.get() or pytest.fail()
+            kind, (member,) = await recorder.news.get() or pytest.fail()
             assert kind is api.ListKind.DELTA and member.entry.state is api.State.DRAINING
             first, link = await call(peer)
             assert "after=43&" in first
             link.write(http("200 OK", message(50, True, ENTRY)))
-            assert (await told.news.get() or pytest.fail())[0] is api.ListKind.FULL
+            assert (await recorder.news.get() or pytest.fail())[0] is api.ListKind.FULL
             assert "after=50&" in (await call(peer))[0]
-            told.client.close()
+            recorder.client.close()
 
     run(scenario)
 
 
-def test_asking_again_while_a_watch_is_on_makes_no_second_call() -> None:
+def test_subscribing_during_a_watch_makes_no_second_call() -> None:
     async def scenario() -> None:
         async with Peer() as peer:
-            told = WatchRecorder(peer)
-            told.client.subscribe()
+            recorder = WatchRecorder(peer)
+            recorder.client.subscribe()
             _, link = await call(peer)
             link.write(http("200 OK", message(42, False)))
-            await told.news.get()
-            assert "after=42&" in (await call(peer))[0]  # and none with 41 before it
-            told.client.close()
+            await recorder.news.get()
+            assert "after=42&" in (await call(peer))[0]  # and no second call with 41 before it
+            recorder.client.close()
 
     run(scenario)
 
 
 @pytest.mark.parametrize(
-    "answer",
+    "response",
     [
         http("503 Busy"),
         http("200 OK", b"not json"),
@@ -121,24 +121,24 @@
         b"",
     ],
 )
-def test_a_failed_call_is_told_and_the_next_starts_from_the_list_held(answer: bytes) -> None:
-    """Half a list taken for whole would drop servers that are well; an exception would end the watch."""
+def test_failed_call_is_reported_and_the_next_uses_the_same_index(response: bytes) -> None:
+    """A truncated list taken as complete would drop working servers; an exception would end the watch."""
 
     async def scenario() -> None:
         async with Peer() as peer:
-            told = WatchRecorder(peer)
+            recorder = WatchRecorder(peer)
             _, link = await call(peer)
-            link.write(answer)
+            link.write(response)
             link.close()
-            assert await told.news.get() is None
-            told.client.subscribe()
+            assert await recorder.news.get() is None
+            recorder.client.subscribe()
             assert "after=41&" in (await call(peer))[0]
-            told.client.close()
+            recorder.client.close()
 
     run(scenario)
 
 
-def test_a_refused_call_is_told() -> None:
+def test_refused_call_is_reported() -> None:
     async def scenario() -> None:
         async with Peer() as peer:
             pass
@@ -147,63 +147,62 @@
     run(scenario)
 
 
-def test_a_silent_discovery_is_given_up_soon(monkeypatch: pytest.MonkeyPatch) -> None:
-    """What it has to tell counts as told: a router that waits on sends to servers it should have left."""
+def test_call_without_a_response_times_out(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Changes count as delivered meanwhile, and the router goes on sending to servers that drain."""
 
     async def scenario() -> None:
         monkeypatch.setattr(discoveries, "WATCH_WAIT_S", 0.05)
         monkeypatch.setattr(discoveries, "RESPONSE_MARGIN_S", 0.05)
         async with Peer() as peer:
-            told = WatchRecorder(peer)
+            recorder = WatchRecorder(peer)
             _, link = await call(peer)
-            assert await told.news.get() is None
+            assert await recorder.news.get() is None
             assert await link.ended()
 
     run(scenario)
 
 
-def test_a_fault_in_taking_a_list_is_told_as_a_failed_call() -> None:
-    """A watch that ended without a word would leave the router with its old list for good."""
+def test_exception_in_a_callback_is_reported_as_a_failed_call() -> None:
+    """A watch that ended silently would leave the router with its old list for ever."""
 
     async def scenario() -> None:
         async with Peer() as peer:
-            told = WatchRecorder(peer)
+            recorder = WatchRecorder(peer)
 
             def faulty(kind: api.ListKind, members: list[Member]) -> None:
                 raise RuntimeError("a fault")
 
-            told.client.on_list = faulty
+            recorder.client.on_list = faulty
             _, link = await call(peer)
             link.write(http("200 OK", message(42, False, ENTRY)))
-            assert await told.news.get() is None and told.client.watch_task is None
+            assert await recorder.news.get() is None and recorder.client.watch_task is None
 
     run(scenario)
 
 
 @pytest.mark.parametrize("failed", [False, True])
-def test_a_watch_goes_on_at_another_address(failed: bool) -> None:
-    """The old one tells nothing more; what the new one has to tell counts as told soon."""
+def test_watch_moves_to_another_address(failed: bool) -> None:
+    """The old discovery reports no more changes, and those at the new one soon count as delivered."""
 
     async def scenario() -> None:
         async with Peer() as old, Peer() as new:
-            told = WatchRecorder(old)
+            recorder = WatchRecorder(old)
             _, link = await call(old)
             if failed:
                 link.write(http("503 Busy"))
-                assert await told.news.get() is None
-            assert not told.client.set_address(old.address)  # no news: nothing changes
-            before = told.client.watch_task
-            assert (
-                told.client.set_address(new.address) and told.client.watch_task is before
-            )  # until the module asks
-            told.client.subscribe()
+                assert await recorder.news.get() is None
+            assert not recorder.client.set_address(old.address)  # the same address: nothing changes
+            before = recorder.client.watch_task
+            # The watch goes on until the module subscribes again.
+            assert recorder.client.set_address(new.address) and recorder.client.watch_task is before
+            recorder.client.subscribe()
             assert failed or await link.ended()
             first, link = await call(new)
             assert "after=41&" in first
-            told.client.subscribe()
+            recorder.client.subscribe()
             link.write(http("200 OK", message(42, False)))
-            assert (await told.news.get() or pytest.fail())[0] is api.ListKind.DELTA
-            assert "after=42&" in (await call(new))[0] and told.news.empty()
-            told.client.close()
+            assert (await recorder.news.get() or pytest.fail())[0] is api.ListKind.DELTA
+            assert "after=42&" in (await call(new))[0] and recorder.news.empty()
+            recorder.client.close()
 
     run(scenario)
--- a/tests/test_net_host.py
+++ b/tests/test_net_host.py
@@ -407,9 +407,8 @@
                 client = await router.client()
                 client.write(command("PING"))
                 assert await client.resp() == b"PONG"
-            assert (
-                calls <= 6
-            )  # the failed one, and for each client one that succeeds and one that finds none left
+            # The failed call, and for each client one that succeeds and one that finds no further client.
+            assert calls <= 6
 
     run(scenario)
 
--- a/tests/test_net_peers.py
+++ b/tests/test_net_peers.py
@@ -1,4 +1,4 @@
-"""Datagrams between routers, over loopback."""
+"""The peer socket, over loopback."""
 
 from __future__ import annotations
 
@@ -11,41 +11,41 @@
 from tests.loopback import SETTINGS, Router, run, spelled
 
 
-def endpoint() -> socket.socket:
+def udp_socket() -> socket.socket:
     opened = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     opened.bind(("127.0.0.1", 0))
     opened.setblocking(False)
     return opened
 
 
-def test_what_is_told_goes_to_all_and_what_peers_tell_is_heard() -> None:
+def test_broadcasts_are_sent_and_only_peers_are_received() -> None:
     async def scenario() -> None:
-        heard: asyncio.Queue[bytes] = asyncio.Queue()
-        with endpoint() as peer, endpoint() as stranger:
-            everyone = spelled(peer.getsockname())
-            peers = PeerSocket("127.0.0.1:0", [everyone], everyone, heard.put_nowait)
+        received: asyncio.Queue[bytes] = asyncio.Queue()
+        with udp_socket() as peer, udp_socket() as stranger:
+            peers_all = spelled(peer.getsockname())
+            peers = PeerSocket("127.0.0.1:0", [peers_all], peers_all, received.put_nowait)
             await peers.start()
             assert peers.transport is not None
             address = peers.transport.get_extra_info("sockname")
             loop = asyncio.get_running_loop()
             peers.broadcast(b"told")
             assert await loop.sock_recv(peer, 512) == b"told"
-            peers.broadcast(b"")  # neither of these may go out
+            peers.broadcast(b"")  # must not be sent, nor the next
             peers.broadcast(b"x" * 257)
             peers.broadcast(b"next")
             assert await loop.sock_recv(peer, 512) == b"next"
             stranger.sendto(b"not of the tier", address)
             peer.sendto(b"x" * 300, address)
             peer.sendto(b"heard", address)
-            assert await heard.get() == b"heard" and heard.empty()
+            assert await received.get() == b"heard" and received.empty()
             peers.close()
 
     run(scenario)
 
 
-def test_a_socket_that_does_not_open_leaves_the_router_without_peers() -> None:
+def test_socket_that_does_not_open_leaves_the_router_without_peers() -> None:
     async def scenario() -> None:
-        with endpoint() as taken:
+        with udp_socket() as taken:
             address = spelled(taken.getsockname())
             peers = PeerSocket(address, [], address, lambda content: None)
             await peers.start()
@@ -57,7 +57,7 @@
     run(scenario)
 
 
-def test_the_host_hands_messages_to_the_module_and_back() -> None:
+def test_host_passes_messages_to_and_from_the_module() -> None:
     async def scenario() -> None:
         async with Router() as router:
             told = Demand()
@@ -69,6 +69,6 @@
             router.host.broadcast = sent.append
             router.host._execute(api.Tell(b"content"))
             assert sent == [b"content"]
-            assert not SETTINGS.peers  # and by itself it tells nothing here
+            assert not SETTINGS.peers  # so the router itself broadcasts nothing here
 
     run(scenario)
--- a/tests/test_net_pool.py
+++ b/tests/test_net_pool.py
@@ -1,4 +1,4 @@
-"""Attempts on cache servers and the origin: outcomes turn on whether the request may have run."""
+"""Attempts at cache servers and the origin: the outcome depends on whether the request may have run."""
 
 from __future__ import annotations
 
@@ -23,14 +23,14 @@
 
 
 class AttemptRecorder:
-    """Starts attempts and collects how they end."""
+    """Starts attempts and records their outcomes."""
 
     def __init__(self, pool: Pool) -> None:
         self.pool = pool
         self.results: asyncio.Queue[tuple[Status, bytes]] = asyncio.Queue()
 
     async def start_and_receive(self, peer: Peer) -> Link:
-        """An attempt that the peer has in hand."""
+        """Starts an attempt and returns the connection on which the peer has received it."""
         self.start(peer.address)
         link = await peer.link()
         assert (await link.resp())[2] == b"r1"
@@ -48,7 +48,7 @@
 
 
 @pytest.mark.parametrize(
-    ("answer", "status", "value"),
+    ("response", "status", "value"),
     [
         (HIT, Status.OK, b"value"),
         (b"*3\r\n$0\r\n\r\n$-1\r\n$-1\r\n", Status.OK, b""),
@@ -58,7 +58,7 @@
         (b"-ERR failed inflight=7,queue=2\r\n", Status.ERROR, b""),
     ],
 )
-def test_answers_of_a_cache_server(answer: bytes, status: Status, value: bytes) -> None:
+def test_responses_of_a_cache_server(response: bytes, status: Status, value: bytes) -> None:
     async def scenario() -> None:
         async with Peer() as peer:
             attempts = cache_attempts()
@@ -66,11 +66,11 @@
             link = await peer.link()
             *parts, info = await link.resp()
             assert parts == [b"C.GET", b"k", b"r1"]
-            assert info.startswith(b"c=read,d=") and 0 < int(info[9:]) < 500  # what the dial took is gone
-            link.write(answer)
+            assert info.startswith(b"c=read,d=") and 0 < int(info[9:]) < 500  # less what the dial took
+            link.write(response)
             assert await attempts.result() == (status, value)
             await asyncio.sleep(2 * pools.REUSE_DELAY_S)
-            attempts.start(peer.address)  # and the connection is kept
+            attempts.start(peer.address)  # on the same connection
             await link.resp()
             attempts.pool.close()
 
@@ -78,7 +78,7 @@
 
 
 @pytest.mark.parametrize(
-    "answer",
+    "response",
     [
         b"hello\r\n",
         b"*0\r\n",
@@ -90,14 +90,14 @@
         b"*2\r\n*1000000000\r\n",
     ],
 )
-def test_a_malformed_answer_may_have_run_and_ends_its_connection(answer: bytes) -> None:
-    """What follows on such a connection can't be told from the answer to a later request."""
+def test_malformed_response_is_an_error_and_closes_its_connection(response: bytes) -> None:
+    """The request may have run, and what follows could be taken for the response to a later request."""
 
     async def scenario() -> None:
         async with Peer() as peer:
             attempts = cache_attempts()
             link = await attempts.start_and_receive(peer)
-            link.write(answer)
+            link.write(response)
             assert await attempts.result() == (Status.ERROR, b"")
             assert await link.ended() and not attempts.pool.connections
 
@@ -105,28 +105,28 @@
 
 
 @pytest.mark.parametrize(
-    "more", [HIT, MISS, HIT[:1], HIT[:9], b"\r\n", b"-BUSY\r\n", b"*9\r\n", b"garbage", b"\x00"]
+    "extra", [HIT, MISS, HIT[:1], HIT[:9], b"\r\n", b"-BUSY\r\n", b"*9\r\n", b"garbage", b"\x00"]
 )
-def test_more_than_an_answer_ends_the_connection(more: bytes) -> None:
-    """The rest would be taken for the answer to the next request, which would get another's value.
+def test_bytes_after_a_response_close_the_connection(extra: bytes) -> None:
+    """They would be taken for the response to the next request, which would get the value of another.
 
-    The answer before it is whole, and is served whatever follows.
+    The response before them is complete and is served whatever follows.
     """
 
     async def scenario() -> None:
         async with Peer() as peer:
             attempts = cache_attempts()
             link = await attempts.start_and_receive(peer)
-            link.write(HIT + more)
+            link.write(HIT + extra)
             assert await attempts.result() == (Status.OK, b"value")
             assert await link.ended() and not attempts.pool.idle
 
     run(scenario)
 
 
-@pytest.mark.parametrize("more", [HIT, HIT[:1], b"garbage", b"\x00"])
-def test_bytes_that_come_while_an_answered_connection_rests_end_it(more: bytes) -> None:
-    """A second answer comes a few milliseconds after the first."""
+@pytest.mark.parametrize("extra", [HIT, HIT[:1], b"garbage", b"\x00"])
+def test_bytes_within_the_reuse_delay_close_the_connection(extra: bytes) -> None:
+    """A faulty second response comes a few milliseconds after the first."""
 
     async def scenario() -> None:
         async with Peer() as peer:
@@ -134,26 +134,26 @@
             link = await attempts.start_and_receive(peer)
             link.write(HIT)
             assert await attempts.result() == (Status.OK, b"value")
-            link.write(more)
+            link.write(extra)
             assert await link.ended() and not attempts.pool.idle and not attempts.pool.connections
 
     run(scenario)
 
 
-@pytest.mark.parametrize("how", ["close", "reset"])
-def test_a_break_after_the_last_byte_may_have_run(how: str) -> None:
+@pytest.mark.parametrize("ending", ["close", "reset"])
+def test_break_after_the_last_byte_is_a_reset(ending: str) -> None:
     async def scenario() -> None:
         async with Peer() as peer:
             attempts = cache_attempts()
             link = await attempts.start_and_receive(peer)
-            getattr(link, how)()
+            getattr(link, ending)()
             assert await attempts.result() == (Status.RESET, b"")
 
     run(scenario)
 
 
-def test_a_break_before_the_last_byte_never_ran() -> None:
-    """Counted as a reset, an unsafe request could not be tried elsewhere though it can't have run."""
+def test_break_before_the_last_byte_is_a_failed_connection() -> None:
+    """As a reset, an unsafe request could not be sent elsewhere, although it cannot have run."""
 
     async def scenario() -> None:
         async with Peer() as peer:
@@ -167,7 +167,7 @@
     run(scenario)
 
 
-def test_a_request_written_in_pieces_may_have_run_once_all_are() -> None:
+def test_break_after_a_request_written_in_parts_is_a_reset() -> None:
     async def scenario() -> None:
         async with Peer() as peer:
             attempts = cache_attempts()
@@ -180,7 +180,7 @@
     run(scenario)
 
 
-def test_a_refused_connection_never_ran() -> None:
+def test_refused_connection_is_a_failed_connection() -> None:
     async def scenario() -> None:
         async with Peer() as peer:
             address = peer.address
@@ -192,13 +192,13 @@
     run(scenario)
 
 
-def test_a_connection_that_never_comes_up_is_given_up() -> None:
-    """A machine cut off says nothing: without a limit on dialling the request waits out its deadline."""
+def test_dial_that_never_completes_times_out() -> None:
+    """A host that is cut off sends no refusal. Without the timeout the request waits until its deadline."""
 
     async def scenario() -> None:
         with socket.socket() as full, socket.socket() as first:
             full.bind(("127.0.0.1", 0))
-            full.listen(0)  # room for one, which `first` takes; the next gets no answer
+            full.listen(0)  # a backlog of one, which `first` takes; the next SYN gets no answer
             first.connect(full.getsockname())
             attempts = cache_attempts(dial=0.05)
             attempts.start(spelled(full.getsockname()))
@@ -207,8 +207,8 @@
     run(scenario)
 
 
-def test_a_second_answer_is_not_taken_for_that_of_the_next_request() -> None:
-    """It came milliseconds after the first, and the next request had been written by then."""
+def test_second_response_is_not_taken_for_that_to_the_next_request() -> None:
+    """It came milliseconds after the first, when the next request had already been written."""
 
     async def scenario() -> None:
         async with Peer() as peer:
@@ -216,7 +216,9 @@
             first = await attempts.start_and_receive(peer)
             first.write(HIT)
             assert await attempts.result() == (Status.OK, b"value")
-            second = await attempts.start_and_receive(peer)  # on a connection of its own: the first one rests
+            second = await attempts.start_and_receive(
+                peer
+            )  # on a new connection, as the first one is not reused yet
             first.write(HIT.replace(b"value", b"other"))
             assert await first.ended() and attempts.results.empty()
             second.write(HIT)
@@ -226,7 +228,7 @@
     run(scenario)
 
 
-def test_a_dial_counts_in_the_time_that_the_server_is_told(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_time_left_sent_to_the_server_excludes_the_dial(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
         async with Peer() as peer:
             loop, attempts = asyncio.get_running_loop(), cache_attempts()
@@ -245,8 +247,8 @@
     run(scenario)
 
 
-def test_a_kept_connection_that_was_closed_is_not_used(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A request written to it would end as a reset, and an unsafe one would be failed for nothing."""
+def test_idle_connection_that_was_closed_is_not_reused(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A request written to it would end as a reset, and an unsafe one would fail needlessly."""
     monkeypatch.setattr(pools, "REUSE_DELAY_S", 0.0)
 
     async def scenario() -> None:
@@ -260,7 +262,7 @@
             await loop.sock_recv(first, 4096)
             await loop.sock_sendall(first, HIT)
             await attempts.result()
-            first.close()  # and the loop has not looked since
+            first.close()  # the event loop has not polled since
             attempts.start(address)
             second, _ = await loop.sock_accept(server)
             await loop.sock_recv(second, 4096)
@@ -271,8 +273,8 @@
     run(scenario)
 
 
-def test_a_kept_connection_is_closed_before_its_server_would() -> None:
-    """One used just as the server closes it loses the request that is written to it."""
+def test_idle_connection_is_closed_before_its_server_would() -> None:
+    """A connection reused just as its server closes it loses the request written to it."""
 
     async def scenario() -> None:
         async with Peer() as peer:
@@ -285,8 +287,8 @@
     run(scenario)
 
 
-def test_giving_up_closes_the_connection() -> None:
-    """Left open, the server would go on working, and its late answer would meet the next request."""
+def test_abandoning_closes_the_connection() -> None:
+    """Otherwise the server would go on working, and its late response would meet the next request."""
 
     async def scenario() -> None:
         async with Peer() as peer:
@@ -300,7 +302,7 @@
     run(scenario)
 
 
-def test_giving_up_while_dialling_sends_nothing() -> None:
+def test_abandoning_while_dialling_sends_nothing() -> None:
     async def scenario() -> None:
         async with Peer() as peer:
             attempts = cache_attempts()
@@ -317,8 +319,8 @@
     run(scenario)
 
 
-def test_connections_stay_within_their_budget() -> None:
-    """Without it a burst takes the descriptors that clients need, and nobody can connect any more."""
+def test_connections_stay_within_the_budget() -> None:
+    """Without a limit, a burst takes the descriptors of the listener, and no client can connect."""
 
     async def scenario() -> None:
         async with Peer() as one, Peer() as other:
@@ -330,7 +332,7 @@
             assert await attempts.result() == (Status.CONNECT_FAILED, b"")
             link.write(HIT)
             assert await attempts.result() == (Status.OK, b"value")
-            attempts.start(other.address)  # an idle one makes room
+            attempts.start(other.address)  # replaces an idle one
             assert await link.ended()
             await (await other.link()).resp()
             attempts.pool.close()
@@ -338,7 +340,7 @@
     run(scenario)
 
 
-async def asked(
+async def start_at_origin(
     peer: Peer, attempts: AttemptRecorder, command: Command = GET
 ) -> tuple[Link, str, dict[str, str], bytes]:
     attempts.start(peer.address, command)
@@ -347,7 +349,7 @@
 
 
 @pytest.mark.parametrize(
-    ("answer", "status", "value"),
+    ("response", "status", "value"),
     [
         (http("200 OK", b"value"), Status.OK, b"value"),
         (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nva\r\n0\r\n\r\n", Status.OK, b"va"),
@@ -363,19 +365,19 @@
         (b"HTTP/1.1 304 Not Modified\r\nContent-Length: 5\r\n\r\n", Status.ERROR, b""),
     ],
 )
-def test_answers_of_the_origin(answer: bytes, status: Status, value: bytes) -> None:
+def test_responses_of_the_origin(response: bytes, status: Status, value: bytes) -> None:
     async def scenario() -> None:
         async with Peer() as peer:
             attempts = AttemptRecorder(Pool(OriginConnection, 8, 1.0, 60.0))
-            link, first, headers, _ = await asked(peer, attempts)
+            link, first, headers, _ = await start_at_origin(peer, attempts)
             assert first == "GET /k HTTP/1.1"
             info = headers["request-info"]
             assert headers["request-id"] == "r1"
-            assert info.startswith("c=read,d=") and 0 < int(info[9:]) < 500  # what the dial took is gone
-            link.write(answer)
+            assert info.startswith("c=read,d=") and 0 < int(info[9:]) < 500  # less what the dial took
+            link.write(response)
             assert await attempts.result() == (status, value)
             await asyncio.sleep(2 * pools.REUSE_DELAY_S)
-            attempts.start(peer.address)  # and the connection is kept
+            attempts.start(peer.address)  # on the same connection
             await link.http()
             attempts.pool.close()
 
@@ -383,7 +385,7 @@
 
 
 @pytest.mark.parametrize(
-    ("answer", "status"),
+    ("response", "status"),
     [
         (b"hello\r\n\r\n", Status.ERROR),
         (http("200 OK", b"x" * 70000), Status.ERROR),
@@ -393,18 +395,18 @@
         (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n-5\r\nvalue\r\n0\r\n\r\n", Status.ERROR),
         (b"HTTP/1.1 103 Early Hints\r\n\r\n" * 99 + http("200 OK", b"value"), Status.ERROR),
         (b"HTTP/1.1 204 No Content\r\n\r\nvalue", Status.ERROR),
-        (http("200 OK", b"value") + b"more", Status.OK),  # that of its length, and the rest is nobody's
+        (http("200 OK", b"value") + b"more", Status.OK),  # the body ends at its length; the rest is ignored
         (b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nval", Status.RESET),
-        (b"HTTP/1.1 200 OK\r\n\r\nvalue", Status.OK),  # its end is the connection's
+        (b"HTTP/1.1 200 OK\r\n\r\nvalue", Status.OK),  # the body ends with the connection
         (b"", Status.RESET),
     ],
 )
-def test_malformed_and_broken_answers_of_the_origin(answer: bytes, status: Status) -> None:
+def test_malformed_and_truncated_responses_of_the_origin(response: bytes, status: Status) -> None:
     async def scenario() -> None:
         async with Peer() as peer:
             attempts = AttemptRecorder(Pool(OriginConnection, 8, 1.0, 60.0))
-            link, *_ = await asked(peer, attempts)
-            link.write(answer)
+            link, *_ = await start_at_origin(peer, attempts)
+            link.write(response)
             link.close()
             assert (await attempts.result())[0] is status
             assert await link.ended() and not attempts.pool.idle
@@ -412,48 +414,51 @@
     run(scenario)
 
 
-class Counting(OriginConnection):
-    """Tells how much it has read."""
+class CountingConnection(OriginConnection):
+    """Counts the bytes it has read."""
 
-    got = 0
+    received_bytes = 0
 
     def data_received(self, data: bytes) -> None:
-        self.got += len(data)
+        self.received_bytes += len(data)
         super().data_received(data)
 
 
-def end_with_reset(peer: socket.socket) -> None:
+def close_with_reset(peer: socket.socket) -> None:
     peer.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     peer.close()
 
 
-async def ended_answer(data: bytes, reset: bool, one_turn: bool) -> tuple[Status, bytes]:
-    """What becomes of bytes of the origin, and an end that the loop sees along with them or after them."""
+async def result_of_closed_response(data: bytes, reset: bool, one_turn: bool) -> tuple[Status, bytes]:
+    """Returns the result of an attempt at an origin that sends `data` and then closes or resets.
+
+    With `one_turn` the event loop sees the end in the same turn as the data, else in a later one.
+    """
     loop = asyncio.get_running_loop()
     with socket.create_server(("127.0.0.1", 0)) as server:
         server.setblocking(False)
-        attempts = AttemptRecorder(Pool(Counting, 8, 1.0, 60.0))
+        attempts = AttemptRecorder(Pool(CountingConnection, 8, 1.0, 60.0))
         attempts.start(spelled(server.getsockname()))
         peer, _ = await loop.sock_accept(server)
         request = b""
         while not request.endswith(b"\r\n\r\n"):
             request += await loop.sock_recv(peer, 4096)
         (connection,) = attempts.pool.connections
-        assert isinstance(connection, Counting)
+        assert isinstance(connection, CountingConnection)
         peer.sendall(data)
-        while not one_turn and connection.got < len(data):
+        while not one_turn and connection.received_bytes < len(data):
             await asyncio.sleep(0)
         if reset:
-            end_with_reset(peer)
+            close_with_reset(peer)
         else:
             peer.close()
-        end = await attempts.result()
+        outcome = await attempts.result()
         attempts.pool.close()
-        return end
+        return outcome
 
 
 HEAD = b"HTTP/1.1 200 OK\r\n"
-ENDLESS = HEAD + b"Server-Load: inflight=7\r\n\r\n"
+UNBOUNDED = HEAD + b"Server-Load: inflight=7\r\n\r\n"
 BOUNDED = [
     (http("200 OK", b"value"), b"value"),
     (HEAD + b"Transfer-Encoding: chunked\r\n\r\n2\r\nva\r\n3\r\nlue\r\n0\r\n\r\n", b"value"),
@@ -462,59 +467,65 @@
 
 
 @ONE_TURN
-def test_a_body_without_a_length_ends_with_its_connection_and_not_with_a_reset(one_turn: bool) -> None:
-    """A value cut short on its way would be served as if it were whole."""
+def test_body_without_a_length_ends_with_a_close_but_not_a_reset(one_turn: bool) -> None:
+    """Otherwise a truncated value would be served as if it were complete."""
 
     async def scenario() -> None:
         for body in (b"", b"v", b"value", b"v" * 9000):
-            data = ENDLESS + body
-            assert await ended_answer(data, reset=False, one_turn=one_turn) == (Status.OK, body)
-            assert await ended_answer(data, reset=True, one_turn=one_turn) == (Status.RESET, b"")
+            data = UNBOUNDED + body
+            assert await result_of_closed_response(data, reset=False, one_turn=one_turn) == (Status.OK, body)
+            assert await result_of_closed_response(data, reset=True, one_turn=one_turn) == (Status.RESET, b"")
 
     run(scenario)
 
 
 @ONE_TURN
-@pytest.mark.parametrize("text", [ENDLESS + b"value", *(text for text, _ in BOUNDED)])
-def test_a_reset_is_no_end_at_any_byte(text: bytes, one_turn: bool) -> None:
+@pytest.mark.parametrize("text", [UNBOUNDED + b"value", *(text for text, _ in BOUNDED)])
+def test_reset_after_any_byte_is_a_reset(text: bytes, one_turn: bool) -> None:
     async def scenario() -> None:
         for size in range(len(text)):
-            assert await ended_answer(text[:size], reset=True, one_turn=one_turn) == (Status.RESET, b"")
+            assert await result_of_closed_response(text[:size], reset=True, one_turn=one_turn) == (
+                Status.RESET,
+                b"",
+            )
 
     run(scenario)
 
 
 @ONE_TURN
 @pytest.mark.parametrize(("text", "body"), BOUNDED)
-def test_an_end_before_that_of_the_body_is_a_reset(text: bytes, body: bytes, one_turn: bool) -> None:
+def test_close_before_the_end_of_the_body_is_a_reset(text: bytes, body: bytes, one_turn: bool) -> None:
     async def scenario() -> None:
         for size in range(len(text)):
-            assert await ended_answer(text[:size], reset=False, one_turn=one_turn) == (Status.RESET, b"")
-        assert await ended_answer(text, reset=False, one_turn=one_turn) == (Status.OK, body)
+            assert await result_of_closed_response(text[:size], reset=False, one_turn=one_turn) == (
+                Status.RESET,
+                b"",
+            )
+        assert await result_of_closed_response(text, reset=False, one_turn=one_turn) == (Status.OK, body)
 
     run(scenario)
 
 
 @ONE_TURN
 @pytest.mark.parametrize(("text", "body"), BOUNDED)
-def test_a_whole_body_stands_though_a_reset_follows(text: bytes, body: bytes, one_turn: bool) -> None:
+def test_complete_body_is_served_although_a_reset_follows(text: bytes, body: bytes, one_turn: bool) -> None:
     async def scenario() -> None:
-        end = await ended_answer(text, reset=True, one_turn=one_turn)
-        # a kernel may tell of the reset before the bytes; it may not make another body of them
-        assert end == (Status.OK, body) or (one_turn and end == (Status.RESET, b""))
+        outcome = await result_of_closed_response(text, reset=True, one_turn=one_turn)
+        # The kernel may report the reset before the bytes, but the body must never differ.
+        assert outcome == (Status.OK, body) or (one_turn and outcome == (Status.RESET, b""))
 
     run(scenario)
 
 
 @pytest.mark.parametrize("key", [b"a/../b", b"a?x=1", b"a b", b"a\r\nX: y", b"%2e", "ó".encode(), b"\xff#"])
-def test_a_key_stays_one_segment_of_the_path(key: bytes) -> None:
-    """A key that spells another path would fetch, or overwrite, what nobody asked for."""
+def test_key_is_one_segment_of_the_path(key: bytes) -> None:
+    """A key that contains another path would read or overwrite another object."""
 
     async def scenario() -> None:
         async with Peer() as peer:
             attempts = AttemptRecorder(Pool(OriginConnection, 8, 1.0, 60.0))
             put = Command(b"C.SET", key, b"r1", {"d": "900"}, 900, b"slot")
-            _, first, _, body = await asked(peer, attempts, put)
+            _, first, _, body = await start_at_origin(peer, attempts, put)
             method, path, _ = first.split(" ")
             assert method == "PUT" and body == b"slot"
             assert not set(path[1:]) & set("/?# ") and path == "/" + "".join(
@@ -525,8 +536,8 @@
     run(scenario)
 
 
-def test_a_request_that_cannot_be_spelled_ends_its_attempt_at_once() -> None:
-    """Left without an outcome it would hold its request until the deadline."""
+def test_request_that_cannot_be_encoded_ends_its_attempt_at_once() -> None:
+    """Without an outcome, the attempt would hold its request until the deadline."""
 
     async def scenario() -> None:
         async with Peer() as peer:
--- a/tests/test_net_turns.py
+++ b/tests/test_net_turns.py
@@ -1,7 +1,7 @@
-"""What one turn of the event loop may hold up, and what a fault in it may cost.
+"""How much one turn of the event loop may do for one client, and the effect of internal errors.
 
-Both ends of a connection live in one thread here: what a test sends or ends by hand is in the system before
-the router's loop turns again, so the order of events is the one written down.
+Both ends of a connection are in one thread here: what a test sends or closes by hand has reached the kernel
+before the router's event loop turns again, so the order of events is the one written in the test.
 """
 
 from __future__ import annotations
@@ -18,81 +18,81 @@
 from tests.test_terms_clients import NEVER, Roomy, at_once, leave_at_once, paused, turns
 
 FLOOD = 600  # commands that one client sends at once
-NO_COMMAND = read("flood", info="c=unheard-of,d=900")  # refused at once, so that no answer is waited for
+REFUSED_COMMAND = read("flood", info="c=unheard-of,d=900")  # refused at once, with no wait for a server
 
 
-class Takes:
-    """The connections whose commands are taken, in that order."""
+class CommandLog:
+    """Records the connections whose commands are processed, in order."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.order: list[ClientConnection] = []
-        take = ClientConnection._process_command
+        process_command = ClientConnection._process_command
 
-        def noted(connection: ClientConnection, parts: object) -> None:
+        def recording(connection: ClientConnection, parts: object) -> None:
             self.order.append(connection)
-            take(connection, parts)
+            process_command(connection, parts)
 
-        monkeypatch.setattr(ClientConnection, "_process_command", noted)
+        monkeypatch.setattr(ClientConnection, "_process_command", recording)
 
 
-async def flooded(router: Router, takes: Takes) -> Link:
-    """A client that has sent a flood, of which the first commands have just been taken."""
+async def flooding_client(router: Router, command_log: CommandLog) -> Link:
+    """Returns a client that has sent a flood, of which the first commands have just been processed."""
     flooding = await router.client()
     await turns()
-    at_once(flooding, NO_COMMAND * FLOOD)
-    while not takes.order:
+    at_once(flooding, REFUSED_COMMAND * FLOOD)
+    while not command_log.order:
         await asyncio.sleep(0)
     return flooding
 
 
-def test_a_flood_from_one_client_does_not_hold_up_another(monkeypatch: pytest.MonkeyPatch) -> None:
-    """All that had come was taken in one turn: what others had sent, and all that was due, was late by it."""
+def test_flood_from_one_client_does_not_delay_another(monkeypatch: pytest.MonkeyPatch) -> None:
+    """All received commands were processed in one turn, which delayed other clients and all timers."""
 
     async def scenario() -> None:
         async with Router() as router:
             flooding, other = await router.client(), await router.client()
             await turns()
-            takes = Takes(monkeypatch)
-            at_once(flooding, NO_COMMAND * FLOOD)
+            command_log = CommandLog(monkeypatch)
+            at_once(flooding, REFUSED_COMMAND * FLOOD)
             at_once(other, command("PING"))
             assert await other.resp() == b"PONG"
-            assert len(takes.order) <= 4 * MAX_COMMANDS_PER_TURN
+            assert len(command_log.order) <= 4 * MAX_COMMANDS_PER_TURN
             for _ in range(FLOOD):
                 assert isinstance(await flooding.resp(), Exception)
 
     run(scenario)
 
 
-def test_no_more_of_a_flood_is_taken_once_its_client_has_left(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_flood_is_not_processed_after_its_client_has_disconnected(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
         async with Router() as router:
-            takes = Takes(monkeypatch)
-            leave_at_once(await flooded(router, takes))
+            command_log = CommandLog(monkeypatch)
+            leave_at_once(await flooding_client(router, command_log))
             await turns()
-            assert len(takes.order) <= MAX_COMMANDS_PER_TURN and not router.listener.connections
+            assert len(command_log.order) <= MAX_COMMANDS_PER_TURN and not router.listener.connections
 
     run(scenario)
 
 
-def test_answers_of_one_turn_ask_for_one_turn_more(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Each answer would otherwise have a turn's commands taken, all of them in the same turn."""
+def test_responses_of_one_turn_schedule_one_further_turn(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Otherwise each response would schedule a batch of commands, all of them in the same turn."""
 
     async def scenario() -> None:
         async with Router() as router:
-            takes = Takes(monkeypatch)
-            flooding = await flooded(router, takes)
-            assert len(takes.order) <= MAX_COMMANDS_PER_TURN
-            while len(takes.order) < FLOOD:
-                before = len(takes.order)
+            command_log = CommandLog(monkeypatch)
+            flooding = await flooding_client(router, command_log)
+            assert len(command_log.order) <= MAX_COMMANDS_PER_TURN
+            while len(command_log.order) < FLOOD:
+                before = len(command_log.order)
                 await asyncio.sleep(0)
-                assert len(takes.order) - before <= MAX_COMMANDS_PER_TURN
+                assert len(command_log.order) - before <= MAX_COMMANDS_PER_TURN
             flooding.close()
 
     run(scenario)
 
 
 @pytest.mark.parametrize("size", [1, PARSE_CHUNK_BYTES - 1, PARSE_CHUNK_BYTES, PARSE_CHUNK_BYTES + 1, 65_536])
-def test_a_long_value_passes_whole_whatever_its_pieces(size: int) -> None:
+def test_value_of_any_size_is_passed_on_unchanged(size: int) -> None:
     value = bytes(i % 251 for i in range(size))
 
     async def scenario() -> None:
@@ -107,10 +107,8 @@
     run(scenario)
 
 
-def test_nothing_is_written_on_a_connection_that_outlasted_its_client(
-    monkeypatch: pytest.MonkeyPatch,
-) -> None:
-    """A dial that ended between two looks had its request written, for a client that had left before."""
+def test_nothing_is_sent_after_a_dial_that_outlasts_its_client(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A dial that completed between two polls sent its request, although the client had disconnected."""
     monkeypatch.setattr(listener, "DISCONNECT_POLL_S", NEVER)
 
     async def scenario() -> None:
@@ -119,11 +117,11 @@
             loop, gate = asyncio.get_running_loop(), asyncio.Event()
             connect = loop.create_connection
 
-            async def held_back(*args: Any) -> Any:
+            async def delayed(*args: Any) -> Any:
                 await gate.wait()
                 return await connect(*args)
 
-            monkeypatch.setattr(loop, "create_connection", held_back)
+            monkeypatch.setattr(loop, "create_connection", delayed)
             at_once(out[b"r0"], b"*3\r\n$-1\r\n$4\r\nmiss\r\n$-1\r\n")
             while not router.origins.dials:
                 await asyncio.sleep(0)
@@ -138,11 +136,11 @@
     run(scenario)
 
 
-# A fault of the router's own
+# Internal errors of the router
 
 
-def test_a_fault_in_one_action_costs_no_other(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The final answer that came behind it was lost."""
+def test_error_in_one_action_does_not_stop_the_next(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The response that followed it was lost."""
 
     async def scenario() -> None:
         async with Router() as router:
@@ -164,8 +162,8 @@
     run(scenario)
 
 
-def test_a_fault_of_the_module_costs_no_other_request(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Events that waited behind it were left to the next one, and its own request had no answer."""
+def test_error_in_the_module_affects_no_other_request(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Events queued behind it waited for the next event, and its own request got no response."""
 
     async def scenario() -> None:
         async with Router() as router:
@@ -190,7 +188,7 @@
     run(scenario)
 
 
-def test_a_timer_that_faults_leaves_the_next_one_its_turn(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_error_on_one_timer_does_not_stop_the_next(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
         async with Router() as router:
             seen: list[str] = []
