--- a/brackenwalk/net/clients.py
+++ b/brackenwalk/net/clients.py
@@ -281,10 +281,8 @@
 
     def _on_linger_timeout(self) -> None:
         loop = asyncio.get_running_loop()
-        had_unsent, self.had_unsent = (
-            self.had_unsent,
-            self.has_unsent(),
-        )  # the FIN may have been sent only now
+        # The client gets a full interval after its last response, as the FIN may have been sent only now.
+        had_unsent, self.had_unsent = self.had_unsent, self.has_unsent()
         if (had_unsent or self.had_unsent) and loop.time() < self.linger_deadline:
             self.linger_timer = loop.call_later(LINGER_S, self._on_linger_timeout)
         else:
--- a/tests/test_main.py
+++ b/tests/test_main.py
@@ -167,8 +167,8 @@
                 address = await listening_address(process.stderr)
                 client = await connect_ready(address)
                 client.write(read("r1"))
-                served = await cache.link()
-                await served.resp()
+                cache_link = await cache.link()
+                await cache_link.resp()
                 path.write_bytes(b"{")
                 process.send_signal(signal.SIGHUP)
                 await wait_for_log(
@@ -178,9 +178,9 @@
                 process.send_signal(signal.SIGHUP)
                 assert "after=2&" in (await (await moved.link()).http())[0]
                 process.send_signal(signal.SIGTERM)
-                late = await connect_ready(address)
-                assert await late.ended()
-                served.write(HIT)
+                late_client = await connect_ready(address)
+                assert await late_client.ended()
+                cache_link.write(HIT)
                 assert await client.resp() == b"value"
                 async with asyncio.timeout(PATIENCE):
                     assert await process.wait() == 0
@@ -243,19 +243,18 @@
                 client = await connect_ready(await listening_address(process.stderr))
                 watch = await discovery.link()
                 assert "after=1&" in (await watch.http())[0]
-                whole = {"index": 2, "snapshot": True, "endpoints": lines}
-                watch.write(http("200 OK", orjson.dumps(whole)))
+                full_list = {"index": 2, "snapshot": True, "endpoints": lines}
+                watch.write(http("200 OK", orjson.dumps(full_list)))
                 assert "after=2&" in (await (await discovery.link()).http())[0]
                 client.write(read("r1"))
-                served = await cache.link()
-                await served.resp()
-                served.write(HIT)
+                cache_link = await cache.link()
+                await cache_link.resp()
+                cache_link.write(HIT)
                 assert await client.resp() == b"value"
                 status = Path(f"/proc/{process.pid}/status").read_text()
                 memory = re.search(r"VmHWM:\s+(\d+) kB", status)
-                assert (
-                    memory is not None and int(memory[1]) < 64 * 1024
-                )  # two thirds of what a small day gives
+                # Two thirds of the memory that the smallest deployment grants.
+                assert memory is not None and int(memory[1]) < 64 * 1024
             finally:
                 process.kill()
                 await process.wait()
--- a/tests/test_net_pool.py
+++ b/tests/test_net_pool.py
@@ -216,9 +216,8 @@
             first = await attempts.start_and_receive(peer)
             first.write(HIT)
             assert await attempts.result() == (Status.OK, b"value")
-            second = await attempts.start_and_receive(
-                peer
-            )  # on a new connection, as the first one is not reused yet
+            # On a new connection, as the first one may not be reused yet.
+            second = await attempts.start_and_receive(peer)
             first.write(HIT.replace(b"value", b"other"))
             assert await first.ended() and attempts.results.empty()
             second.write(HIT)
