--- a/brackenwalk/net/listener.py
+++ b/brackenwalk/net/listener.py
@@ -121,7 +121,7 @@
         return stalled is not None
 
     def _reduce_budget(self) -> None:
-        """Shrinks a budget above what the system grants, to leave descriptors for discovery and servers."""
+        """Shrinks the budget when the system grants less, to leave descriptors for discovery and servers."""
         self.budget = max(self.min_budget, self.budget - BUDGET_STEP)
         self._abort_lingering()
         while len(self.connections) > self._max_open() and self._close_one():
