--- a/tests/test_grammar_http.py
+++ b/tests/test_grammar_http.py
@@ -17,14 +17,14 @@
 from hypothesis import strategies as st
 
 from brackenwalk import interface as api
-from brackenwalk.net.discovery import Discovery
-from brackenwalk.net.http import MAX_FRAMING, MAX_INFORMATIONAL, HttpClient, HttpError, Response
+from brackenwalk.net.discovery import DiscoveryClient
+from brackenwalk.net.http import MAX_FRAMING_BYTES, MAX_INFORMATIONAL, HttpClient, HttpError, Response
 from tests.loopback import format_address, run
 
 OK = b"HTTP/1.1 200 OK\r\n"
 CHUNKED = OK + b"Transfer-Encoding: chunked\r\n\r\n"
 MAX_BODY = 64 * 1024  # bytes
-MAX_FIELD = MAX_FRAMING - len(OK + b"X: \r\n\r\n")
+MAX_FIELD = MAX_FRAMING_BYTES - len(OK + b"X: \r\n\r\n")
 PIECES = pytest.mark.parametrize("piece", [1, 7, 99999])
 
 
@@ -88,7 +88,7 @@
     response = read(waiting_client(), head + b"value", piece)
     assert response is not None and response.body == b"value"
     assert_rejected(head.replace(b"x", b"xx", 1), piece)
-    assert_rejected(CHUNKED + b"0\r\nX: " + b"x" * MAX_FRAMING + b"\r\n\r\n", piece)
+    assert_rejected(CHUNKED + b"0\r\nX: " + b"x" * MAX_FRAMING_BYTES + b"\r\n\r\n", piece)
 
 
 @PIECES
@@ -323,7 +323,7 @@
             start = self.at
             minor, status = self.status_line()
             fields = self.fields()
-            require(self.at - start <= MAX_FRAMING)
+            require(self.at - start <= MAX_FRAMING_BYTES)
             lengths = [v for n, v in fields if n == b"content-length"]
             codings = [v for n, v in fields if n == b"transfer-encoding"]
             require(len(lengths) + len(codings) <= 1)
@@ -383,7 +383,7 @@
             body += self.take(size)
             require(self.take(2) == b"\r\n")
         trailers = self.fields()
-        require(self.at - start <= MAX_FRAMING)
+        require(self.at - start <= MAX_FRAMING_BYTES)
         require(not any(n in (b"content-length", b"transfer-encoding") for n, _ in trailers))
         return body
 
@@ -588,7 +588,7 @@
         with socket.create_server(("127.0.0.1", 0)) as server:
             server.setblocking(False)
             address = format_address(server.getsockname())
-            watch = Discovery(
+            watch = DiscoveryClient(
                 address, 0, lambda kind, _: lists.put_nowait(kind), lambda: lists.put_nowait(None)
             )
             watch.subscribe()
@@ -604,6 +604,6 @@
             accepted.close()
             assert await lists.get() == (None if reset else api.ListKind.FULL)
             watch.close()
-            assert watch.watch is None or await asyncio.wait([watch.watch])
+            assert watch.watch_task is None or await asyncio.wait([watch.watch_task])
 
     run(scenario)
--- a/tests/test_grammar_resp.py
+++ b/tests/test_grammar_resp.py
@@ -15,12 +15,12 @@
 from hypothesis import strategies as st
 
 from brackenwalk.interface import Status
-from brackenwalk.net.pool import Answer, MalformedAnswer, Pool
-from brackenwalk.net.resp import NOT_YET, Reader
+from brackenwalk.net.pool import AttemptResult, MalformedResponse, Pool
+from brackenwalk.net.resp import INCOMPLETE, Reader
 from brackenwalk.net.servers import CacheConnection
 from tests.loopback import RouterHarness, ScriptedServer, command, run
 from tests.test_net_host import error
-from tests.test_net_pool import caches
+from tests.test_net_pool import cache_attempts
 
 NULL = b"$-1\r\n"
 HEAD = re.compile(rb"\$(0|[1-9][0-9]*)\r\n")
@@ -54,7 +54,7 @@
     return parts, text
 
 
-def answer_of(text: bytes) -> Answer | None:
+def answer_of(text: bytes) -> AttemptResult | None:
     """Return what a whole answer at the beginning of a text means by PROTOCOL; None if there is none."""
     if text.startswith(b"*3\r\n"):
         parts = bulks(text[4:], 3)
@@ -74,13 +74,13 @@
     return [text[a:b] for a, b in zip([0, *ends], [*ends, len(text)], strict=True)]
 
 
-def decode(parts: list[bytes]) -> Answer | str:
+def decode(parts: list[bytes]) -> AttemptResult | str:
     """Return what a connection to a cache server decodes from an answer that arrives in these pieces."""
     connection = CacheConnection(Pool(CacheConnection, 1, 1.0, 60.0), "127.0.0.1:1")
     for part in parts:
         try:
             answer = connection.decode(part)
-        except MalformedAnswer:
+        except MalformedResponse:
             return "malformed"
         if answer is not None:
             return answer
@@ -174,13 +174,13 @@
 
     async def scenario() -> None:
         async with ScriptedServer() as server:
-            ends = caches()
-            link = await ends.begun(server)
+            ends = cache_attempts()
+            link = await ends.start_and_receive(server)
             invalid = b"$5\r\nvalueXY$-1\r\n$-1\r\n"
             link.write(b"*3\r\n" + invalid[: 4 + at])
             await link.writer.drain()
             link.write(invalid[4 + at :])
-            assert await ends.end() == (Status.ERROR, b"")
+            assert await ends.result() == (Status.ERROR, b"")
             assert await link.wait_closed() and not ends.pool.connections
 
     run(scenario)
@@ -191,7 +191,7 @@
 
 def read(parts: list[bytes]) -> list[Any]:
     """Return the messages that a client's connection reads, and "error" at the first that is invalid."""
-    reader = Reader(parts=b":-$")
+    reader = Reader(element_types=b":-$")
     got: list[Any] = []
     for part in parts:
         reader.feed(part)
@@ -200,7 +200,7 @@
                 message = reader.gets()
             except hiredis.ProtocolError:
                 return [*got, "error"]
-            if message is NOT_YET:
+            if message is INCOMPLETE:
                 break
             got.append(message)
     return got
--- a/tests/test_main.py
+++ b/tests/test_main.py
@@ -1,4 +1,4 @@
-"""The program: its configuration and its signals."""
+"""The router process: configuration and signals."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 import pytest
 
 from brackenwalk import __main__ as program
-from brackenwalk.net.pool import address_of
+from brackenwalk.net.pool import parse_address
 from tests.loopback import HIT, TIMEOUT_S, Link, ScriptedServer, command, format_address, http, read, run
-from tests.test_net_discovery import LINE, message
+from tests.test_net_discovery import ENTRY, message
 from tests.test_wirehost import CONF
 
-KNOWN = {"index": 41, "snapshot": True, "endpoints": [LINE]}
-GOOD: dict[str, Any] = {
+KNOWN = {"index": 41, "snapshot": True, "endpoints": [ENTRY]}
+VALID_CONFIG: dict[str, Any] = {
     "name": "n3",
     "listen": "127.0.0.1:6379",
     "discovery": "127.0.0.1:8500",
@@ -32,17 +32,17 @@
 }
 
 
-def test_a_configuration_is_read() -> None:
-    config = program.read_config(orjson.dumps(GOOD))
+def test_configuration_is_parsed() -> None:
+    config = program.read_config(orjson.dumps(VALID_CONFIG))
     assert (config.listen, config.discovery) == (("127.0.0.1", 6379), "127.0.0.1:8500")
     assert (config.seed, config.sockets, config.known_index) == (0x8C1F30D27A5BE964, 1024, 41)
     assert [m.entry.server for m in config.known] == ["s-1"]
     assert config.settings.classes["pay"].repeat_window == 5.0
     assert config.peer_listen is None
-    ours, other, everyone = (f"127.0.0.1:{port}" for port in (1, 2, 3))
-    talks: dict[str, Any] = {"peer_listen": ours, "peers": [ours, other], "peers_all": everyone}
-    config = program.read_config(orjson.dumps({**GOOD, **talks}))
-    assert [config.peer_listen, config.peers, config.peers_all] == list(talks.values())
+    own, other, all_peers = (f"127.0.0.1:{port}" for port in (1, 2, 3))
+    peer_config: dict[str, Any] = {"peer_listen": own, "peers": [own, other], "peers_all": all_peers}
+    config = program.read_config(orjson.dumps({**VALID_CONFIG, **peer_config}))
+    assert [config.peer_listen, config.peers, config.peers_all] == list(peer_config.values())
 
 
 @pytest.mark.parametrize(
@@ -66,7 +66,7 @@
         ({"settings": {**CONF, "limits": {"dialTimeout": "x"}}}, "limits.dialTimeout"),
     ],
 )
-def test_an_unusable_configuration_ends_the_start_in_one_line(
+def test_invalid_configuration_exits_with_one_line(
     change: dict[str, Any],
     field: str,
     tmp_path: Path,
@@ -74,7 +74,7 @@
     capsys: pytest.CaptureFixture[str],
 ) -> None:
     path = tmp_path / "config.json"
-    path.write_bytes(orjson.dumps({**GOOD, **change}))
+    path.write_bytes(orjson.dumps({**VALID_CONFIG, **change}))
     monkeypatch.setenv("RELAY_CONFIG", str(path))
     assert program.main() == 2
     (line,) = capsys.readouterr().err.splitlines()
@@ -82,7 +82,7 @@
 
 
 @pytest.mark.parametrize("text", [None, b"", b"{", b"[]"])
-def test_no_configuration_ends_the_start_in_one_line(
+def test_missing_configuration_exits_with_one_line(
     text: bytes | None, tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     path = tmp_path / "config.json"
@@ -93,40 +93,42 @@
     assert len(capsys.readouterr().err.splitlines()) == 1
 
 
-def test_an_address_in_use_ends_the_start_in_one_line(
+def test_address_in_use_exits_with_one_line(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     with socket.create_server(("127.0.0.1", 0)) as taken:
         path = tmp_path / "config.json"
-        path.write_bytes(orjson.dumps({**GOOD, "listen": format_address(taken.getsockname())}))
+        path.write_bytes(orjson.dumps({**VALID_CONFIG, "listen": format_address(taken.getsockname())}))
         monkeypatch.setenv("RELAY_CONFIG", str(path))
         assert program.main() == 2
     assert capsys.readouterr().err.splitlines()[-1].startswith("brackenwalk: listen: ")
 
 
-async def ready(address: tuple[str, int]) -> Link:
-    """A client's connection that has been answered."""
+async def connect_ready(address: tuple[str, int]) -> Link:
+    """Returns a client connection on which a PING has been answered."""
     client = Link(*await asyncio.open_connection(*address))
     client.write(command("PING"))
     assert await client.resp() == b"PONG"
     return client
 
 
-async def said(log: asyncio.StreamReader | None, what: bytes) -> bytes:
-    """The next line of the log that has these words."""
+async def wait_for_log(log: asyncio.StreamReader | None, pattern: bytes) -> bytes:
+    """Returns the text that a regular expression matches in the next line of the log to match it."""
     assert log is not None
-    while (found := re.search(what, await log.readline())) is None:
+    while (match := re.search(pattern, await log.readline())) is None:
         assert not log.at_eof()
-    return found[0]
+    return match[0]
 
 
-async def listening(log: asyncio.StreamReader | None) -> tuple[str, int]:
-    """Where the program says that it listens."""
-    return address_of((await said(log, rb"listening on [0-9.]+:\d+")).decode().removeprefix("listening on "))
+async def listening_address(log: asyncio.StreamReader | None) -> tuple[str, int]:
+    """Returns the address that the process logs that it listens on."""
+    return parse_address(
+        (await wait_for_log(log, rb"listening on [0-9.]+:\d+")).decode().removeprefix("listening on ")
+    )
 
 
-async def launched(path: Path, config: dict[str, Any]) -> asyncio.subprocess.Process:
-    """The program in a process of its own, with a configuration at this path; its log is standard error."""
+async def launch(path: Path, config: dict[str, Any]) -> asyncio.subprocess.Process:
+    """Starts a router process with a configuration at this path; its log is on standard error."""
     path.write_bytes(orjson.dumps(config))
     return await asyncio.create_subprocess_exec(
         sys.executable,
@@ -138,40 +140,47 @@
 
 
 @pytest.mark.parametrize("mode", ["subscribe", "automatic"])
-def test_the_program_serves_moves_and_ends_when_nothing_is_owed(mode: str, tmp_path: Path) -> None:
-    """Ended too early it loses what it has taken; too late it is killed with what it holds.
+def test_process_serves_reloads_and_exits_once_all_is_answered(mode: str, tmp_path: Path) -> None:
+    """An exit too early loses accepted requests; one too late is cut short by SIGKILL, with the same loss.
 
-    SIGHUP ends nothing, whatever the file says by then.
+    SIGHUP must not end the process, whatever the file contains by then.
     """
 
     async def scenario() -> None:
         async with ScriptedServer() as cache, ScriptedServer() as discovery, ScriptedServer() as moved:
-            line = {**LINE, "address": cache.address, "type": "std", "since_ms": 0}
+            line = {**ENTRY, "address": cache.address, "type": "std", "since_ms": 0}
             known = {"index": 1, "snapshot": True, "endpoints": [line]}
             settings = {**CONF, "membershipMode": mode}
-            config = {**GOOD, "settings": settings, "listen": "127.0.0.1:0", "discovery": discovery.address}
+            config = {
+                **VALID_CONFIG,
+                "settings": settings,
+                "listen": "127.0.0.1:0",
+                "discovery": discovery.address,
+            }
             config["known"] = known
             path = tmp_path / "config.json"
-            process = await launched(path, config)
+            process = await launch(path, config)
             try:
                 watch = await discovery.link()
                 assert "after=1&" in (await watch.http())[0]
                 watch.write(http("200 OK", message(2, False)))
-                address = await listening(process.stderr)
-                client = await ready(address)
+                address = await listening_address(process.stderr)
+                client = await connect_ready(address)
                 client.write(read("r1"))
-                served = await cache.link()
-                await served.resp()
+                cache_link = await cache.link()
+                await cache_link.resp()
                 path.write_bytes(b"{")
                 process.send_signal(signal.SIGHUP)
-                await said(process.stderr, rb"configuration not taken: .*")
+                await wait_for_log(
+                    process.stderr, rb"configuration not reloaded, keeping the previous one: .*"
+                )
                 path.write_bytes(orjson.dumps({**config, "discovery": moved.address}))
                 process.send_signal(signal.SIGHUP)
                 assert "after=2&" in (await (await moved.link()).http())[0]
                 process.send_signal(signal.SIGTERM)
-                late = await ready(address)
-                assert await late.wait_closed()
-                served.write(HIT)
+                late_client = await connect_ready(address)
+                assert await late_client.wait_closed()
+                cache_link.write(HIT)
                 assert await client.resp() == b"value"
                 async with asyncio.timeout(TIMEOUT_S):
                     assert await process.wait() == 0
@@ -182,28 +191,28 @@
     run(scenario)
 
 
-def test_a_hung_server_does_not_outlast_the_end(tmp_path: Path) -> None:
-    """SIGKILL comes by the longest deadline of the settings: until then all must have had their answers."""
+def test_hanging_server_does_not_delay_exit(tmp_path: Path) -> None:
+    """SIGKILL follows after the longest deadline of the settings; all must be answered before it."""
 
     async def scenario() -> None:
         async with ScriptedServer() as cache, ScriptedServer() as discovery:
-            line = {**LINE, "address": cache.address, "type": "std", "since_ms": 0}
+            line = {**ENTRY, "address": cache.address, "type": "std", "since_ms": 0}
             classes = [{**CONF["classes"][0], "giveUp": 0.3}, *CONF["classes"][1:]]
-            config = {**GOOD, "listen": "127.0.0.1:0", "discovery": discovery.address}
+            config = {**VALID_CONFIG, "listen": "127.0.0.1:0", "discovery": discovery.address}
             config["settings"] = {**CONF, "classes": [{**c, "giveUp": 0.3} for c in classes]}
             config["known"] = {"index": 1, "snapshot": True, "endpoints": [line]}
             path = tmp_path / "config.json"
-            process = await launched(path, config)
+            process = await launch(path, config)
             try:
-                address = await listening(process.stderr)
-                clients = [await ready(address) for _ in range(3)]
+                address = await listening_address(process.stderr)
+                clients = [await connect_ready(address) for _ in range(3)]
                 for i, client in enumerate(clients):
                     client.write(read(f"r{i}", info=f"c={classes[i % len(classes)]['name']},d=60000"))
                     await (await cache.link()).resp()
                 process.send_signal(signal.SIGTERM)
                 process.send_signal(signal.SIGTERM)
                 process.send_signal(signal.SIGHUP)
-                async with asyncio.timeout(3.0):  # three times as long as until SIGKILL
+                async with asyncio.timeout(3.0):  # three times the time until SIGKILL
                     for client in clients:
                         assert isinstance(await client.resp(), Exception) and await client.wait_closed()
                 assert await process.wait() == 0
@@ -214,37 +223,38 @@
     run(scenario)
 
 
-def test_lists_of_a_thousand_are_taken_whole(tmp_path: Path) -> None:
-    """A thousand servers and as many routers: it starts, serves, hears of changes and stays small."""
+def test_router_serves_with_a_thousand_servers_and_routers(tmp_path: Path) -> None:
+    """With 1024 servers and routers it starts, serves, takes list updates and stays within its memory."""
 
     async def scenario() -> None:
         async with ScriptedServer() as cache, ScriptedServer() as discovery:
-            lines = [{**LINE, "name": f"s-{i}", "address": cache.address, "since_ms": 0} for i in range(1024)]
+            lines = [
+                {**ENTRY, "name": f"s-{i}", "address": cache.address, "since_ms": 0} for i in range(1024)
+            ]
             known = {"index": 1, "snapshot": True, "endpoints": lines}
             peers = ["127.0.0.1:0", *(f"127.1.{i // 256}.{i % 256}:7946" for i in range(1023))]
-            talks = {"peer_listen": peers[0], "peers": peers, "peers_all": "127.1.255.255:7946"}
+            peer_config = {"peer_listen": peers[0], "peers": peers, "peers_all": "127.1.255.255:7946"}
             settings = {**CONF, "siblings": 1024, "limits": {**CONF["limits"], "peers": True}}
-            config = {**GOOD, **talks, "settings": settings, "known": known}
+            config = {**VALID_CONFIG, **peer_config, "settings": settings, "known": known}
             config |= {"listen": "127.0.0.1:0", "discovery": discovery.address}
             path = tmp_path / "config.json"
-            process = await launched(path, config)
+            process = await launch(path, config)
             try:
-                client = await ready(await listening(process.stderr))
+                client = await connect_ready(await listening_address(process.stderr))
                 watch = await discovery.link()
                 assert "after=1&" in (await watch.http())[0]
-                whole = {"index": 2, "snapshot": True, "endpoints": lines}
-                watch.write(http("200 OK", orjson.dumps(whole)))
+                full_list = {"index": 2, "snapshot": True, "endpoints": lines}
+                watch.write(http("200 OK", orjson.dumps(full_list)))
                 assert "after=2&" in (await (await discovery.link()).http())[0]
                 client.write(read("r1"))
-                served = await cache.link()
-                await served.resp()
-                served.write(HIT)
+                cache_link = await cache.link()
+                await cache_link.resp()
+                cache_link.write(HIT)
                 assert await client.resp() == b"value"
                 status = Path(f"/proc/{process.pid}/status").read_text()
                 memory = re.search(r"VmHWM:\s+(\d+) kB", status)
-                assert (
-                    memory is not None and int(memory[1]) < 64 * 1024
-                )  # two thirds of what a small day gives
+                # Two thirds of the memory that the smallest deployment grants.
+                assert memory is not None and int(memory[1]) < 64 * 1024
             finally:
                 process.kill()
                 await process.wait()
--- a/tests/test_net_discovery.py
+++ b/tests/test_net_discovery.py
@@ -1,4 +1,4 @@
-"""The watch on discovery's list, over loopback."""
+"""The discovery client: parsing of lists, and the watch, over loopback."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 from brackenwalk import interface as api
 from brackenwalk.net import discovery as discoveries
-from brackenwalk.net.discovery import Discovery, ListError, read_list
+from brackenwalk.net.discovery import DiscoveryClient, ListError, read_list
 from brackenwalk.net.host import Member
 from tests.loopback import Link, ScriptedServer, http, run
 
-LINE: dict[str, Any] = {
+ENTRY: dict[str, Any] = {
     "name": "s-1",
     "address": "127.0.0.9:6379",
     "zone": "a",
@@ -26,22 +26,22 @@
 }
 
 
-def message(index: int, whole: bool, *lines: dict[str, Any]) -> bytes:
-    return orjson.dumps({"index": index, "snapshot": whole, "endpoints": lines})
+def message(index: int, is_full: bool, *lines: dict[str, Any]) -> bytes:
+    return orjson.dumps({"index": index, "snapshot": is_full, "endpoints": lines})
 
 
-class Told:
-    """What a watch tells its router, in order; a failure is None."""
+class WatchRecorder:
+    """Records the lists and failures that a client reports, in order; a failure is None."""
 
     def __init__(self, peer: ScriptedServer) -> None:
         self.news: asyncio.Queue[tuple[api.ListKind, list[Member]] | None] = asyncio.Queue()
-        self.watch = Discovery(
+        self.client = DiscoveryClient(
             peer.address,
             41,
             lambda kind, members: self.news.put_nowait((kind, members)),
             lambda: self.news.put_nowait(None),
         )
-        self.watch.subscribe()
+        self.client.subscribe()
 
 
 async def call(peer: ScriptedServer) -> tuple[str, Link]:
@@ -49,17 +49,17 @@
     return (await link.http())[0], link
 
 
-def test_an_entry_is_read() -> None:
-    index, whole, (member,) = read_list(orjson.loads(message(7, True, LINE)))
-    assert (index, whole, member.address) == (7, True, "127.0.0.9:6379")
+def test_list_is_parsed() -> None:
+    index, is_full, (member,) = read_list(orjson.loads(message(7, True, ENTRY)))
+    assert (index, is_full, member.address) == (7, True, "127.0.0.9:6379")
     entry = api.ServerEntry("s-1", api.ServerState.READY, "m2", "a", 3, 1.5, 1_790_000_000.25)
-    assert member.entry == entry  # named as at every router, since on the host's own clock
-    _, _, (old,) = read_list(orjson.loads(message(7, True, {**LINE, "since_ms": 0})))
+    assert member.entry == entry  # `since` in seconds of Unix time
+    _, _, (old,) = read_list(orjson.loads(message(7, True, {**ENTRY, "since_ms": 0})))
     assert old.entry.started_at == 0
 
 
 @pytest.mark.parametrize(
-    ("change", "named"),
+    ("change", "field"),
     [
         ({"name": 5}, "name"),
         ({"address": "nowhere"}, "address"),
@@ -70,138 +70,139 @@
         ({"since_ms": None}, "since_ms"),
     ],
 )
-def test_a_malformed_entry_is_named(change: dict[str, Any], named: str) -> None:
-    with pytest.raises(ListError, match=rf"^known\.endpoints\[1\]\.{named}"):
-        read_list({"index": 1, "snapshot": True, "endpoints": [LINE, {**LINE, **change}]}, "known")
+def test_error_names_the_malformed_field(change: dict[str, Any], field: str) -> None:
+    with pytest.raises(ListError, match=rf"^known\.endpoints\[1\]\.{field}"):
+        read_list({"index": 1, "snapshot": True, "endpoints": [ENTRY, {**ENTRY, **change}]}, "known")
 
 
-def test_a_watch_goes_on_from_what_it_was_told() -> None:
+def test_watch_continues_from_the_latest_index() -> None:
     async def scenario() -> None:
         async with ScriptedServer() as peer:
-            told = Told(peer)
+            recorder = WatchRecorder(peer)
             first, link = await call(peer)
             assert first == "GET /registry/instances?after=41&wait_ms=3000 HTTP/1.1"
-            link.write(http("200 OK", message(43, False, {**LINE, "status": "terminating"})))
-            kind, (member,) = await told.news.get() or pytest.fail()
+            link.write(http("200 OK", message(43, False, {**ENTRY, "status": "terminating"})))
+            kind, (member,) = await recorder.news.get() or pytest.fail()
             assert kind is api.ListKind.DELTA and member.entry.state is api.ServerState.DRAINING
             first, link = await call(peer)
             assert "after=43&" in first
-            link.write(http("200 OK", message(50, True, LINE)))
-            assert (await told.news.get() or pytest.fail())[0] is api.ListKind.FULL
+            link.write(http("200 OK", message(50, True, ENTRY)))
+            assert (await recorder.news.get() or pytest.fail())[0] is api.ListKind.FULL
             assert "after=50&" in (await call(peer))[0]
-            told.watch.close()
+            recorder.client.close()
 
     run(scenario)
 
 
-def test_asking_again_while_a_watch_is_on_makes_no_second_call() -> None:
+def test_subscribing_during_a_watch_makes_no_second_call() -> None:
     async def scenario() -> None:
         async with ScriptedServer() as peer:
-            told = Told(peer)
-            told.watch.subscribe()
+            recorder = WatchRecorder(peer)
+            recorder.client.subscribe()
             _, link = await call(peer)
             link.write(http("200 OK", message(42, False)))
-            await told.news.get()
-            assert "after=42&" in (await call(peer))[0]  # and none with 41 before it
-            told.watch.close()
+            await recorder.news.get()
+            assert "after=42&" in (await call(peer))[0]  # and no second call with 41 before it
+            recorder.client.close()
 
     run(scenario)
 
 
 @pytest.mark.parametrize(
-    "answer",
+    "response",
     [
         http("503 Busy"),
         http("200 OK", b"not json"),
         http("200 OK", b"[]"),
         http("200 OK", b'{"index":42,"snapshot":false}'),
-        http("200 OK", message(42, False, {**LINE, "address": ""})),
+        http("200 OK", message(42, False, {**ENTRY, "address": ""})),
         b"hello\r\n\r\n",
         b"HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n{",
         b"",
     ],
 )
-def test_a_failed_call_is_told_and_the_next_starts_from_the_list_held(answer: bytes) -> None:
-    """Half a list taken for whole would drop servers that are well; an exception would end the watch."""
+def test_failed_call_is_reported_and_the_next_uses_the_same_index(response: bytes) -> None:
+    """A truncated list taken as complete would drop working servers; an exception would end the watch."""
 
     async def scenario() -> None:
         async with ScriptedServer() as peer:
-            told = Told(peer)
+            recorder = WatchRecorder(peer)
             _, link = await call(peer)
-            link.write(answer)
+            link.write(response)
             link.close()
-            assert await told.news.get() is None
-            told.watch.subscribe()
+            assert await recorder.news.get() is None
+            recorder.client.subscribe()
             assert "after=41&" in (await call(peer))[0]
-            told.watch.close()
+            recorder.client.close()
 
     run(scenario)
 
 
-def test_a_refused_call_is_told() -> None:
+def test_refused_call_is_reported() -> None:
     async def scenario() -> None:
         async with ScriptedServer() as peer:
             pass
-        assert await Told(peer).news.get() is None
+        assert await WatchRecorder(peer).news.get() is None
 
     run(scenario)
 
 
-def test_a_silent_discovery_is_given_up_soon(monkeypatch: pytest.MonkeyPatch) -> None:
-    """What it has to tell counts as told: a router that waits on sends to servers it should have left."""
+def test_call_without_a_response_times_out(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Changes count as delivered meanwhile, and the router goes on sending to servers that drain."""
 
     async def scenario() -> None:
-        monkeypatch.setattr(discoveries, "WATCH_WAIT", 0.05)
-        monkeypatch.setattr(discoveries, "ANSWER_MARGIN", 0.05)
+        monkeypatch.setattr(discoveries, "WATCH_WAIT_S", 0.05)
+        monkeypatch.setattr(discoveries, "RESPONSE_MARGIN_S", 0.05)
         async with ScriptedServer() as peer:
-            told = Told(peer)
+            recorder = WatchRecorder(peer)
             _, link = await call(peer)
-            assert await told.news.get() is None
+            assert await recorder.news.get() is None
             assert await link.wait_closed()
 
     run(scenario)
 
 
-def test_a_fault_in_taking_a_list_is_told_as_a_failed_call() -> None:
-    """A watch that ended without a word would leave the router with its old list for good."""
+def test_exception_in_a_callback_is_reported_as_a_failed_call() -> None:
+    """A watch that ended silently would leave the router with its old list for ever."""
 
     async def scenario() -> None:
         async with ScriptedServer() as peer:
-            told = Told(peer)
+            recorder = WatchRecorder(peer)
 
             def faulty(kind: api.ListKind, members: list[Member]) -> None:
                 raise RuntimeError("a fault")
 
-            told.watch.told = faulty
+            recorder.client.on_list = faulty
             _, link = await call(peer)
-            link.write(http("200 OK", message(42, False, LINE)))
-            assert await told.news.get() is None and told.watch.watch is None
+            link.write(http("200 OK", message(42, False, ENTRY)))
+            assert await recorder.news.get() is None and recorder.client.watch_task is None
 
     run(scenario)
 
 
 @pytest.mark.parametrize("failed", [False, True])
-def test_a_watch_goes_on_at_another_address(failed: bool) -> None:
-    """The old one tells nothing more; what the new one has to tell counts as told soon."""
+def test_watch_moves_to_another_address(failed: bool) -> None:
+    """The old discovery reports no more changes, and those at the new one soon count as delivered."""
 
     async def scenario() -> None:
         async with ScriptedServer() as old, ScriptedServer() as new:
-            told = Told(old)
+            recorder = WatchRecorder(old)
             _, link = await call(old)
             if failed:
                 link.write(http("503 Busy"))
-                assert await told.news.get() is None
-            assert not told.watch.move(old.address)  # no news: nothing changes
-            before = told.watch.watch
-            assert told.watch.move(new.address) and told.watch.watch is before  # until the module asks
-            told.watch.subscribe()
+                assert await recorder.news.get() is None
+            assert not recorder.client.set_address(old.address)  # the same address: nothing changes
+            before = recorder.client.watch_task
+            # The watch goes on until the module subscribes again.
+            assert recorder.client.set_address(new.address) and recorder.client.watch_task is before
+            recorder.client.subscribe()
             assert failed or await link.wait_closed()
             first, link = await call(new)
             assert "after=41&" in first
-            told.watch.subscribe()
+            recorder.client.subscribe()
             link.write(http("200 OK", message(42, False)))
-            assert (await told.news.get() or pytest.fail())[0] is api.ListKind.DELTA
-            assert "after=42&" in (await call(new))[0] and told.news.empty()
-            told.watch.close()
+            assert (await recorder.news.get() or pytest.fail())[0] is api.ListKind.DELTA
+            assert "after=42&" in (await call(new))[0] and recorder.news.empty()
+            recorder.client.close()
 
     run(scenario)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -245,7 +245,7 @@
     """Guards against pauses as long as the overload window: changes came after they bound the router."""
     conf = settings(subscribe=True, siblings=6, overload_window=3.0, ramp=60.0, max_list_age=10.0)
     pauses = pauses_after_failures(conf, 20)
-    assert discovery.WATCH_WAIT + discovery.ANSWER_MARGIN + pauses[0] < 6.0
+    assert discovery.WATCH_WAIT_S + discovery.RESPONSE_MARGIN_S + pauses[0] < 6.0
     assert max(pauses) <= 5.0
 
 
--- a/tests/test_terms_clients.py
+++ b/tests/test_terms_clients.py
@@ -34,8 +34,8 @@
     read,
     run,
 )
-from tests.test_main import GOOD, launched, listening
-from tests.test_net_discovery import LINE
+from tests.test_main import VALID_CONFIG, launch, listening_address
+from tests.test_net_discovery import ENTRY
 from tests.test_wirehost import CONF
 
 LONG_DEADLINE = "c=read,t=x,d=60000"
@@ -171,7 +171,7 @@
 
 def test_no_further_attempt_starts_before_a_check(monkeypatch: pytest.MonkeyPatch) -> None:
     """A miss that arrived after the client's FIN went on to the origin."""
-    monkeypatch.setattr(listener, "LOOK", NEVER_S)
+    monkeypatch.setattr(listener, "DISCONNECT_POLL_S", NEVER_S)
 
     async def scenario() -> None:
         async with LargeHarness() as router:
@@ -188,7 +188,7 @@
 
 def test_no_buffered_command_is_taken_of_a_client_that_has_left(monkeypatch: pytest.MonkeyPatch) -> None:
     """Each answer made room for a command buffered in the router, though its client had left."""
-    monkeypatch.setattr(listener, "LOOK", NEVER_S)
+    monkeypatch.setattr(listener, "DISCONNECT_POLL_S", NEVER_S)
 
     async def scenario() -> None:
         async with LargeHarness() as router:
@@ -265,7 +265,7 @@
             close_now(client)
             router.servers.dial_timeout = 0.0
             await run_loop()
-            assert router.host.requests["r1"].sent <= 2 and router.host.requests["r1"].closed
+            assert router.host.requests["r1"].attempt_count <= 2 and router.host.requests["r1"].closed
             written = [c.exchange for c in others]
             assert written == [None, None] and all_unused(router)
 
@@ -301,7 +301,7 @@
             with RawClient(router) as client:
                 await client.ping()
                 (connection,) = router.listener.connections
-                idle, crossed = ClientConnection.idle, [read("late")]
+                idle, crossed = ClientConnection.is_idle, [read("late")]
 
                 def closing(checked: ClientConnection) -> bool:
                     found = idle(checked)
@@ -309,7 +309,7 @@
                         client.send(crossed.pop(0))  # right after the check
                     return found
 
-                monkeypatch.setattr(ClientConnection, "idle", closing)
+                monkeypatch.setattr(ClientConnection, "is_idle", closing)
                 stop = None
                 others = []
                 if why == "to make room":
@@ -390,7 +390,7 @@
                 await client.ping()
                 stop = asyncio.create_task(router.listener.stop(0.0, 5.0))
                 assert await client.read_all() == b""
-                await clock.advance(clients.LINGER + 0.1)
+                await clock.advance(clients.LINGER_S + 0.1)
                 assert stop.done() and not router.listener.lingering
 
     run(scenario)
@@ -444,19 +444,19 @@
 ) -> AsyncIterator[tuple[asyncio.subprocess.Process, tuple[str, int]]]:
     """Run the real program with a limit of descriptors; yields the process and the address it listens on."""
     lines = [
-        {**LINE, "name": f"s-{i}", "address": c.address, "type": "std", "since_ms": 0}
+        {**ENTRY, "name": f"s-{i}", "address": c.address, "type": "std", "since_ms": 0}
         for i, c in enumerate(caches)
     ]
-    config = {**GOOD, "listen": "127.0.0.1:0", "discovery": discovery}
+    config = {**VALID_CONFIG, "listen": "127.0.0.1:0", "discovery": discovery}
     config["known"] = {"index": 1, "snapshot": True, "endpoints": lines}
-    config["limits"] = {**GOOD["limits"], "sockets": MAX_SOCKETS}
+    config["limits"] = {**VALID_CONFIG["limits"], "sockets": MAX_SOCKETS}
     classes = [{**c, "giveUp": 1.0} for c in CONF["classes"]]
     config["settings"] = {**CONF, "membershipMode": "automatic", "classes": classes}
     path = tmp_path / "config.json"
-    process = await launched(path, config)
+    process = await launch(path, config)
     try:
         resource.prlimit(process.pid, resource.RLIMIT_NOFILE, (limit, limit))
-        address = await listening(process.stderr)
+        address = await listening_address(process.stderr)
         yield process, address
     finally:
         if process.returncode is None:
@@ -539,7 +539,7 @@
                 await log
                 if limit == MAX_SOCKETS:
                     assert not failed
-                assert len(failed) <= 1 + (loop.time() - since) / listener.ACCEPT_PAUSE  # no busy loop
+                assert len(failed) <= 1 + (loop.time() - since) / listener.ACCEPT_RETRY_S  # no busy loop
                 back.server.close()
                 for each in idle:
                     each.close()
@@ -609,10 +609,10 @@
             idle, partial = await RawClient(router).ping(), await RawClient(router).ping()
             partial.send(b"*4\r\n")
             await run_loop()
-            await clock.advance(clients.STALLED + 0.1)
+            await clock.advance(clients.STALL_TIMEOUT_S + 0.1)
             for connection in router.listener.connections:
                 connection.transport.abort()
-            assert not router.listener._shut_one()
+            assert not router.listener._close_one()
             idle.socket.close()
             partial.socket.close()
 
--- a/tests/test_terms_discovery.py
+++ b/tests/test_terms_discovery.py
@@ -16,20 +16,22 @@
 
 from brackenwalk import interface as api
 from brackenwalk.net import discovery as discoveries
-from brackenwalk.net.pool import address_of
+from brackenwalk.net.pool import parse_address
 from brackenwalk.policy import Router
 from tests.driver import entry, settings
 from tests.loopback import Link, ScriptedServer, command, format_address, http, run
-from tests.test_main import GOOD, launched, listening, ready
-from tests.test_net_discovery import LINE, Told, call, message
+from tests.test_main import VALID_CONFIG, connect_ready, launch, listening_address
+from tests.test_net_discovery import ENTRY, WatchRecorder, call, message
 from tests.test_wirehost import CONF
 
 PROPAGATION_S = 6.0  # after which a router counts as knowing a change, by the requirements
 DRAIN_GRACE_S = 0.5  # the shortest time for a drain that a router knows of
 QUEUE_TIMEOUT_S = 2.0  # for which discovery keeps a call in its queue
-SILENT_CALL_S = discoveries.WATCH_WAIT + discoveries.ANSWER_MARGIN  # until a call without an answer times out
+SILENT_CALL_S = (
+    discoveries.WATCH_WAIT_S + discoveries.RESPONSE_MARGIN_S
+)  # until a call without an answer times out
 # of a connection that is never established; without a limit of its own it has that of the whole call
-DIAL_TIMEOUT_S = getattr(discoveries, "DIAL", SILENT_CALL_S)
+DIAL_TIMEOUT_S = getattr(discoveries, "DIAL_TIMEOUT_S", SILENT_CALL_S)
 
 
 class Model:
@@ -120,7 +122,7 @@
         if self.watches.get(n) == call and call not in self.silent:
             self.renewed[n] = self.now
             self.feed(n, api.ServerList(api.ListKind.DELTA))
-            self.schedule(discoveries.WATCH_WAIT + discoveries.EMPTY_PAUSE, self.renew, n, call)
+            self.schedule(discoveries.WATCH_WAIT_S + discoveries.EMPTY_RESPONSE_PAUSE_S, self.renew, n, call)
 
     def go_down(self, mode: str) -> None:
         """Refuse calls and reset all watches, or stop answering."""
@@ -131,7 +133,9 @@
             else:
                 self.silent.add(watch)
                 since = self.now - self.renewed.get(n, self.now)
-                self.schedule(max(0.0, SILENT_CALL_S + discoveries.EMPTY_PAUSE - since), self.fail, n, watch)
+                self.schedule(
+                    max(0.0, SILENT_CALL_S + discoveries.EMPTY_RESPONSE_PAUSE_S - since), self.fail, n, watch
+                )
 
     def max_call_rate(self) -> int:
         """Return the most calls within a second."""
@@ -255,7 +259,7 @@
             scripted = ScriptedServer()
             scripted.address = format_address(full.getsockname())
             began = time.monotonic()
-            assert await Told(scripted).news.get() is None
+            assert await WatchRecorder(scripted).news.get() is None
             assert time.monotonic() - began < 2.0
             for filler in fillers:
                 filler.close()
@@ -267,14 +271,14 @@
     """An abandoned call would still be served, and the next one would wait behind it."""
 
     async def scenario() -> None:
-        monkeypatch.setattr(discoveries, "DIAL", 0.1, raising=False)
+        monkeypatch.setattr(discoveries, "DIAL_TIMEOUT_S", 0.1, raising=False)
         async with ScriptedServer() as scripted:
-            told = Told(scripted)
+            told = WatchRecorder(scripted)
             _, link = await call(scripted)
             await asyncio.sleep(0.3)
             link.write(http("200 OK", message(42, False)))
             assert await told.news.get() == (api.ListKind.DELTA, [])
-            told.watch.close()
+            told.client.close()
 
     run(scenario)
 
@@ -282,12 +286,12 @@
 FULL_LIST = "GET /registry/instances HTTP/1.1"
 
 
-async def expect_full_list_call(scripted: ScriptedServer, told: Told, link: Link) -> None:
+async def expect_full_list_call(scripted: ScriptedServer, told: WatchRecorder, link: Link) -> None:
     """Answer the watch with changes of a lower version, after which the router needs the full list."""
-    link.write(http("200 OK", message(7, False, {**LINE, "status": "terminating"})))
+    link.write(http("200 OK", message(7, False, {**ENTRY, "status": "terminating"})))
     first, link = await call(scripted)
     assert first == FULL_LIST
-    link.write(http("200 OK", message(8, True, LINE)))
+    link.write(http("200 OK", message(8, True, ENTRY)))
     kind, (member,) = await told.news.get() or pytest.fail()
     assert kind is api.ListKind.FULL and member.entry.state is api.ServerState.READY
     assert "after=8&wait_ms=3000" in (await call(scripted))[0] and told.news.empty()
@@ -298,11 +302,11 @@
 
     async def scenario() -> None:
         async with ScriptedServer() as scripted:
-            told = Told(scripted)
+            told = WatchRecorder(scripted)
             first, link = await call(scripted)
             assert "after=41&" in first
             await expect_full_list_call(scripted, told, link)
-            told.watch.close()
+            told.client.close()
 
     run(scenario)
 
@@ -313,20 +317,20 @@
 
     async def scenario() -> None:
         async with ScriptedServer() as old, ScriptedServer() as new:
-            told = Told(old)
+            told = WatchRecorder(old)
             await call(old)
-            assert told.watch.move(new.address)
-            told.watch.subscribe()
+            assert told.client.set_address(new.address)
+            told.client.subscribe()
             first, link = await call(new)
             assert "after=41&wait_ms=1 " in first
             if failed:  # its version is still unknown
                 link.reset()
                 assert await told.news.get() is None
-                told.watch.subscribe()
+                told.client.subscribe()
                 first, link = await call(new)
                 assert "after=41&wait_ms=1 " in first
             await expect_full_list_call(new, told, link)
-            told.watch.close()
+            told.client.close()
 
     run(scenario)
 
@@ -336,15 +340,15 @@
 
     async def scenario() -> None:
         async with ScriptedServer() as old, ScriptedServer() as new:
-            told = Told(old)
+            told = WatchRecorder(old)
             await call(old)
-            told.watch.move(new.address)
-            told.watch.subscribe()
+            told.client.set_address(new.address)
+            told.client.subscribe()
             _, link = await call(new)
             link.write(http("200 OK", message(41, False)))
             assert await told.news.get() == (api.ListKind.DELTA, [])
             assert "after=41&wait_ms=3000" in (await call(new))[0]
-            told.watch.close()
+            told.client.close()
 
     run(scenario)
 
@@ -352,23 +356,23 @@
 def test_a_full_list_of_a_lower_version_is_accepted() -> None:
     async def scenario() -> None:
         async with ScriptedServer() as scripted:
-            told = Told(scripted)
+            told = WatchRecorder(scripted)
             _, link = await call(scripted)
-            link.write(http("200 OK", message(7, True, LINE)))
+            link.write(http("200 OK", message(7, True, ENTRY)))
             assert (await told.news.get() or pytest.fail())[0] is api.ListKind.FULL
             assert "after=7&" in (await call(scripted))[0]
-            told.watch.close()
+            told.client.close()
 
     run(scenario)
 
 
-@pytest.mark.parametrize("answer", [http("503 Busy"), http("200 OK", message(7, False, LINE)), b""])
+@pytest.mark.parametrize("answer", [http("503 Busy"), http("200 OK", message(7, False, ENTRY)), b""])
 def test_anything_but_a_full_list_is_a_failed_call(answer: bytes) -> None:
     """Changes taken for a full list would drop healthy servers; the router keeps the list it has."""
 
     async def scenario() -> None:
         async with ScriptedServer() as scripted:
-            told = Told(scripted)
+            told = WatchRecorder(scripted)
             _, link = await call(scripted)
             link.write(http("200 OK", message(7, False)))
             first, link = await call(scripted)
@@ -376,9 +380,9 @@
             link.write(answer)
             link.close()
             assert await told.news.get() is None
-            told.watch.subscribe()
+            told.client.subscribe()
             assert "after=41&" in (await call(scripted))[0]
-            told.watch.close()
+            told.client.close()
 
     run(scenario)
 
@@ -391,9 +395,9 @@
     path: Path, discovery: str, known: dict[str, Any], **changes: Any
 ) -> AsyncIterator[asyncio.subprocess.Process]:
     """Run the program in a process of its own."""
-    config = {**GOOD, "listen": "127.0.0.1:0", "discovery": discovery, "known": known}
+    config = {**VALID_CONFIG, "listen": "127.0.0.1:0", "discovery": discovery, "known": known}
     config["settings"] = {**CONF, **changes}
-    process = await launched(path, config)
+    process = await launch(path, config)
     try:
         yield process
     finally:
@@ -403,7 +407,7 @@
 
 
 def servers(count: int) -> list[dict[str, Any]]:
-    return [{**LINE, "name": f"s-{i}", "type": "std", "since_ms": 0} for i in range(count)]
+    return [{**ENTRY, "name": f"s-{i}", "type": "std", "since_ms": 0} for i in range(count)]
 
 
 @pytest.mark.parametrize("mode", ["subscribe", "automatic"])
@@ -414,7 +418,7 @@
             discovery = format_address(down.getsockname())
             empty = {"index": 0, "snapshot": True, "endpoints": []}
             async with running(tmp_path / "c.json", discovery, empty, membershipMode=mode) as process:
-                client = Link(*await asyncio.open_connection(*await listening(process.stderr)))
+                client = Link(*await asyncio.open_connection(*await listening_address(process.stderr)))
                 assert process.stderr is not None
                 while b"out of reach, 3 in a row" not in await process.stderr.readline():
                     client.write(command("PING"))
@@ -443,7 +447,7 @@
             began = time.monotonic()
             discovery = format_address(down.getsockname())
             async with running(tmp_path / "c.json", discovery, old, siblings=230, me=229) as process:
-                await ready(address_of(format_address(await listening(process.stderr))))
+                await connect_ready(parse_address(format_address(await listening_address(process.stderr))))
                 assert time.monotonic() - began < 6.0
 
     run(scenario)
