--- a/fleetlab/capacity.py
+++ b/fleetlab/capacity.py
@@ -23,7 +23,7 @@
 from brackenwalk.policy import FAULTY, POINTS, SILENCE
 from brackenwalk.telling import DATAGRAM, HEARD, TELL, TELLERS
 from fleetlab.experiment import Experiment, Fleet
-from fleetlab.plan import Addresses, Plan, entry_of, first_list
+from fleetlab.plan import Addresses, Plan, initial_server_list, server_entry
 from fleetlab.slopes import AFTER, BEFORE, LEAST_PLAYS, RATES, Fit, Point, Value, choose
 
 FRAME = Path(__file__).with_name("capacity.md.in")
@@ -310,13 +310,13 @@
 def list_bytes(servers: float) -> int:
     """Bytes of the whole list as discovery's stand-in writes it."""
     experiment = Experiment(name="size", mode="model", fleet=Fleet(servers=int(servers)))
-    return len(msgspec.json.encode(first_list(Plan("discovery", experiment, Addresses(1, 1), 1))))
+    return len(msgspec.json.encode(initial_server_list(Plan("discovery", experiment, Addresses(1, 1), 1))))
 
 
 def entry_bytes() -> int:
     """Bytes of one entry of it."""
     experiment = Experiment(name="size", mode="model", fleet=Fleet(servers=1))
-    return len(msgspec.json.encode(entry_of(Plan("discovery", experiment, Addresses(1, 1), 1), 0)))
+    return len(msgspec.json.encode(server_entry(Plan("discovery", experiment, Addresses(1, 1), 1), 0)))
 
 
 def message_bytes(size: Size, aim: float) -> float:
--- a/fleetlab/hollow.py
+++ b/fleetlab/hollow.py
@@ -37,7 +37,7 @@
 from brackenwalk.settings import read_settings
 from fleetlab.model import kind_of, shared_rings, zipf
 from fleetlab.module_costs import CONTROL, state_size, tell_at
-from fleetlab.plan import Plan, config_of
+from fleetlab.plan import Plan, router_config
 from fleetlab.results import Metric, Role
 
 TIME_LEFT = 1.0  # of the shortest aim, that a client gives a request
@@ -248,8 +248,8 @@
         self.shares = list(accumulate(zipf(experiment.requests.keys, experiment.requests.zipf)))
         addresses = plan.addresses
         self.numbers: dict[str, int] = {}  # of servers, by address; those that come later are added
-        self.peers = {address_of(addresses.peer_seen(n)) for n in range(plan.routers())}
-        config = config_of(plan, 0)
+        self.peers = {address_of(addresses.peer_advertised(n)) for n in range(plan.router_count())}
+        config = router_config(plan, 0)
         self.index, _, self.known = read_list(config["known"])
         config["settings"]["me"] = 0
         self.settings = config["settings"]
@@ -301,7 +301,7 @@
         host.list_told(api.ListKind.SAVED, fleet.known)
         if not settings.subscribe:
             self.discovery.subscribe()  # what is pushed comes by the same calls
-        peers = Peers(addresses.peer_listen(self.number), [], addresses.everyone(), self._peer_heard)
+        peers = Peers(addresses.peer_listen(self.number), [], addresses.peers_all(), self._peer_heard)
         peers.peers = fleet.peers  # one set for all: thousands of sets of thousands fill the memory
         self.peers, host.tell = peers, self._tell
         await peers.start()
@@ -590,4 +590,4 @@
 
 def plan_begun(plan: Plan, began: float) -> Plan:
     """The plan with the time at which its schedule begins."""
-    return msgspec.structs.replace(plan, began=began)
+    return msgspec.structs.replace(plan, schedule_start=began)
--- a/fleetlab/module_costs.py
+++ b/fleetlab/module_costs.py
@@ -22,7 +22,7 @@
 from brackenwalk.settings import read_settings
 from fleetlab.experiment import Experiment
 from fleetlab.model import Fleet, kind_of, shared_points, zipf
-from fleetlab.plan import Addresses, Plan, first_list, settings_of
+from fleetlab.plan import Addresses, Plan, initial_server_list, router_settings
 from fleetlab.results import Metric, Role
 
 PLAYED = 30  # routers of the model at most; each stands for several in a larger fleet
@@ -71,8 +71,8 @@
 def told(experiment: Experiment) -> tuple[api.Settings, list[api.ServerEntry]]:
     """A router's settings and first list, in the module's terms, read as a router reads them."""
     plan = Plan("hollow", experiment, Addresses(1, 1024), 0)
-    members = read_list(first_list(plan))[2]
-    return read_settings(settings_of(experiment, 0)), [m.entry for m in members]
+    members = read_list(initial_server_list(plan))[2]
+    return read_settings(router_settings(experiment, 0)), [m.entry for m in members]
 
 
 def answers(experiment: Experiment, seed: int) -> Callable[[str], api.Status]:
--- a/fleetlab/plan.py
+++ b/fleetlab/plan.py
@@ -28,7 +28,7 @@
     def _at(self, block: int, number: int, port: int) -> str:
         return f"127.{self.net}.{block + (number >> 8)}.{number & 255}:{self.port + port}"
 
-    def clients(self, router: int) -> str:
+    def client_listen(self, router: int) -> str:
         """Where a router listens for clients."""
         return self._at(0, router + 1, 0)
 
@@ -36,11 +36,11 @@
         """Where a router hears peers (UDP)."""
         return self._at(0, router + 1, 1)
 
-    def peer_seen(self, router: int) -> str:
+    def peer_advertised(self, router: int) -> str:
         """From where the others hear it: its place in `peers`; a socket of the network's stand-in."""
         return self._at(64, router + 1, 1)
 
-    def everyone(self) -> str:
+    def peers_all(self) -> str:
         """The address of all peers (UDP), a socket of the network's stand-in."""
         return self._at(250, 1, 1)
 
@@ -64,24 +64,23 @@
     addresses: Addresses
     seed: int
     hollow: list[int] = []  # numbers of the routers in this process; real ones have the first numbers
-    began: float = (
-        0.0  # Unix time at which the schedule begins, set by the line `{"began": T}` on standard input
-    )
+    # Unix time, set by the line `{"began": T}` on standard input
+    schedule_start: float = msgspec.field(default=0.0, name="began")
 
-    def routers(self) -> int:
+    def router_count(self) -> int:
         return self.experiment.fleet.real + self.experiment.fleet.hollow
 
 
-def hollow_lists(experiment: Experiment) -> list[list[int]]:
+def hollow_by_process(experiment: Experiment) -> list[list[int]]:
     """The numbers of the hollow routers in each process, dealt round so that all hold all zones."""
     fleet = experiment.fleet
     numbers = list(range(fleet.real, fleet.real + fleet.hollow))
     return [numbers[p :: fleet.processes] for p in range(min(fleet.processes, fleet.hollow))]
 
 
-def listeners(plan: Plan) -> list[int]:
+def peer_listeners(plan: Plan) -> list[int]:
     """Numbers of the routers that hear peers: the real ones and the first of each process's list."""
-    lists = hollow_lists(plan.experiment)
+    lists = hollow_by_process(plan.experiment)
     heard = [n for numbers in lists for n in numbers[: round(plan.experiment.fleet.listening * len(numbers))]]
     return sorted([*range(plan.experiment.fleet.real), *heard])
 
@@ -103,7 +102,7 @@
     return f"s-{zlib.crc32(b'server-%d' % number):08x}"
 
 
-def entry_of(
+def server_entry(
     plan: Plan, number: int, since_ms: int = 0, status: str = "in_service", weight: float = 1.0
 ) -> dict[str, Any]:
     """A cache server's line of the list, in discovery's form."""
@@ -134,13 +133,13 @@
     }
 
 
-def first_list(plan: Plan) -> dict[str, Any]:
+def initial_server_list(plan: Plan) -> dict[str, Any]:
     """The list at the start, in discovery's form; version 1."""
-    servers = [entry_of(plan, n) for n in range(plan.experiment.fleet.servers)]
+    servers = [server_entry(plan, n) for n in range(plan.experiment.fleet.servers)]
     return {"index": 1, "snapshot": True, "endpoints": [*servers, origin_entry(plan)]}
 
 
-def settings_of(experiment: Experiment, number: int) -> dict[str, Any]:
+def router_settings(experiment: Experiment, number: int) -> dict[str, Any]:
     """A router's settings, in the form and words of the simulator's first message (WIRE, section 6)."""
     fleet = experiment.fleet
     aim = experiment.shortest_aim
@@ -213,20 +212,20 @@
     }
 
 
-def config_of(plan: Plan, number: int, memory_mb: int = 192, sockets: int = 1024) -> dict[str, Any]:
+def router_config(plan: Plan, number: int, memory_mb: int = 192, sockets: int = 1024) -> dict[str, Any]:
     """The configuration file of one router, real or hollow (DEPLOY)."""
     addresses = plan.addresses
     return {
         "name": f"n{number}",
-        "listen": addresses.clients(number),
+        "listen": addresses.client_listen(number),
         "discovery": addresses.discovery(number),
         "seed": f"{zlib.crc32(b'%d %d' % (plan.seed, number)):08x}",
         "limits": {"cores": 1.0, "memory_mb": memory_mb, "sockets": sockets},
         "peer_listen": addresses.peer_listen(number),
-        "peers": [addresses.peer_seen(n) for n in range(plan.routers())],
-        "peers_all": addresses.everyone(),
-        "known": first_list(plan),
-        "settings": settings_of(plan.experiment, number),
+        "peers": [addresses.peer_advertised(n) for n in range(plan.router_count())],
+        "peers_all": addresses.peers_all(),
+        "known": initial_server_list(plan),
+        "settings": router_settings(plan.experiment, number),
     }
 
 
@@ -235,13 +234,13 @@
     "Message",
     "Part",
     "Plan",
-    "config_of",
-    "entry_of",
-    "first_list",
-    "hollow_lists",
-    "listeners",
+    "router_config",
+    "server_entry",
+    "initial_server_list",
+    "hollow_by_process",
+    "peer_listeners",
     "origin_entry",
     "server_name",
-    "settings_of",
+    "router_settings",
     "zone_name",
 ]
--- a/fleetlab/runner.py
+++ b/fleetlab/runner.py
@@ -28,7 +28,7 @@
 
 from fleetlab.experiment import Experiment, ExperimentError
 from fleetlab.measure import Sampler, Watched, merge, over
-from fleetlab.plan import Addresses, Message, Part, Plan, config_of, hollow_lists
+from fleetlab.plan import Addresses, Message, Part, Plan, hollow_by_process, router_config
 from fleetlab.results import Machine, Result, Role
 
 ROOT = Path(__file__).parent.parent
@@ -80,7 +80,7 @@
     """The workers of a live play, in the order of their start, each with its hollow routers."""
     fleet = experiment.fleet
     parts: list[tuple[Part, list[int]]] = [(part, []) for part in BEFORE_ROUTERS]
-    parts += [("hollow", numbers) for numbers in hollow_lists(experiment)]
+    parts += [("hollow", numbers) for numbers in hollow_by_process(experiment)]
     if fleet.real:
         parts.append(("clients", []))
     return parts
@@ -195,8 +195,8 @@
     """
     for _ in range(50):
         addresses = Addresses(random.randint(2, 254), random.randrange(10_000, 32_000, 8))
-        places = [addresses.clients(0), addresses.discovery(0), addresses.server(0), addresses.origin()]
-        datagrams = [addresses.peer_listen(0), addresses.peer_seen(0), addresses.everyone()]
+        places = [addresses.client_listen(0), addresses.discovery(0), addresses.server(0), addresses.origin()]
+        datagrams = [addresses.peer_listen(0), addresses.peer_advertised(0), addresses.peers_all()]
         lock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         try:
             lock.bind((f"127.{addresses.net}.255.1", addresses.port + 7))
@@ -402,7 +402,7 @@
         own = self.place / f"{name}-{start}"
         temporary = own / "tmp"  # private, and empty at each start
         temporary.mkdir(parents=True)
-        config = config_of(self.plan, number, sockets=SOCKETS)
+        config = router_config(self.plan, number, sockets=SOCKETS)
         config["seed"] = router_seed(self.plan.seed, number, start)
         path = own / "config.json"
         path.write_bytes(orjson.dumps(config))
--- a/fleetlab/standins/clients.py
+++ b/fleetlab/standins/clients.py
@@ -17,7 +17,7 @@
 
 import hiredis
 
-from fleetlab.plan import Plan, settings_of
+from fleetlab.plan import Plan, router_settings
 from fleetlab.results import Metric, Role
 from fleetlab.standins.course import Meter, Step, go, host_port, percentiles
 from fleetlab.standins.schedule import router_events
@@ -112,7 +112,7 @@
     def __init__(self, clients: Clients, number: int) -> None:
         self.clients = clients
         self.number = number
-        self.address = host_port(clients.plan.addresses.clients(number))
+        self.address = host_port(clients.plan.addresses.client_listen(number))
         self.links: set[Link] = set()
         self.idle: list[Link] = []
         self.dials = 0
@@ -163,7 +163,7 @@
         self.meter = Meter()
         self.random = Random(f"clients {plan.seed}")
         requests = plan.experiment.requests
-        self.kinds = {c["name"]: c for c in settings_of(plan.experiment, 0)["classes"]}
+        self.kinds = {c["name"]: c for c in router_settings(plan.experiment, 0)["classes"]}
         self.shares = list(accumulate(1 / (n + 1) ** requests.zipf for n in range(requests.keys)))
         self.routers = [Router(self, n) for n in range(plan.experiment.fleet.real)]
         self.tasks: set[asyncio.Task[None]] = set()
--- a/fleetlab/standins/discovery.py
+++ b/fleetlab/standins/discovery.py
@@ -22,7 +22,7 @@
 import msgspec
 import orjson
 
-from fleetlab.plan import Plan, first_list
+from fleetlab.plan import Plan, initial_server_list
 from fleetlab.results import Metric, Role
 from fleetlab.standins.course import Meter, Step, go, host_port, percentiles, reset, spread
 from fleetlab.standins.schedule import TOLD, Absence, Change, downtimes, list_changes, router_events
@@ -50,7 +50,7 @@
     """The list, its versions, and the answers to calls, each encoded once."""
 
     def __init__(self, plan: Plan) -> None:
-        message = first_list(plan)
+        message = initial_server_list(plan)
         self.index: int = message["index"]
         self.oldest = self.index  # from which on changes can be told
         self.entries: dict[str, dict[str, Any]] = {e["name"]: e for e in message["endpoints"]}
@@ -193,7 +193,7 @@
         self.start_waiting = 0
         self.free_at = 0.0  # when the call in service is done, on the loop's clock
         self.turn: asyncio.TimerHandle | None = None
-        count = plan.routers()
+        count = plan.router_count()
         self.answered = [float("-inf")] * count  # when each router's watch was last answered
         self.told = [self.versions.index] * count
         self.heard = bytearray(count)  # 1: has called
@@ -207,7 +207,7 @@
 
     async def up(self) -> None:
         """Take calls at every router's address."""
-        for router in range(self.plan.routers()):
+        for router in range(self.plan.router_count()):
             server = await self.loop.create_server(
                 lambda router=router: Link(self, router),  # type: ignore[misc]
                 *host_port(self.plan.addresses.discovery(router)),
@@ -332,7 +332,7 @@
     def steps(self, start: float) -> list[Step]:
         """What happens in the schedule, from its Unix time."""
         self.start = start
-        plan = msgspec.structs.replace(self.plan, began=start)
+        plan = msgspec.structs.replace(self.plan, schedule_start=start)
         for absence in router_events(plan):
             self.absences.setdefault(absence.router, []).append(absence)
         self.start_waiting, self.most_waiting = self.most_waiting, len(self.queue)
--- a/fleetlab/standins/network.py
+++ b/fleetlab/standins/network.py
@@ -2,7 +2,7 @@
 
 A router sends from its `peer_listen` to a peer's place in `peers`, or to the address of all; the datagram
 arrives at the receiver's `peer_listen` from the sender's place in `peers`. Routers that do not listen
-(`plan.listeners`) are sent nothing.
+(`plan.peer_listeners`) are sent nothing.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from pathlib import Path
 from random import Random
 
-from fleetlab.plan import Plan, listeners
+from fleetlab.plan import Plan, peer_listeners
 from fleetlab.results import Metric, Role
 from fleetlab.standins.course import Meter, Step, go, host_port
 from fleetlab.standins.schedule import Cut, cut_between, cuts, loss_at
@@ -34,14 +34,14 @@
         self.loop = asyncio.get_running_loop()
         self.meter = Meter()
         self.random = Random(f"network {plan.seed}")
-        addresses, count = plan.addresses, plan.routers()
+        addresses, count = plan.addresses, plan.router_count()
         self.targets = [host_port(addresses.peer_listen(n)) for n in range(count)]
         self.senders = {address: n for n, address in enumerate(self.targets)}
         self.zones = [n % plan.experiment.fleet.zones for n in range(count)]
-        self.hearing = listeners(plan)
+        self.hearing = peer_listeners(plan)
         self.hears = frozenset(self.hearing)
-        self.everyone = self._socket(addresses.everyone(), BUFFER)
-        self.seen = [self._socket(addresses.peer_seen(n)) for n in range(count)]
+        self.everyone = self._socket(addresses.peers_all(), BUFFER)
+        self.seen = [self._socket(addresses.peer_advertised(n)) for n in range(count)]
         self.loss = plan.experiment.network.loss
         self.cuts: list[Cut] = cuts(plan)
         self.zero = math.inf
--- a/fleetlab/standins/schedule.py
+++ b/fleetlab/standins/schedule.py
@@ -13,7 +13,7 @@
 from typing import Any, Literal
 
 from fleetlab.experiment import Fault
-from fleetlab.plan import Plan, entry_of, server_name
+from fleetlab.plan import Plan, server_entry, server_name
 
 LISTED_LOST = 1.0  # seconds until discovery has noticed that a server is gone
 TOLD = 6.0  # whatever discovery has to tell counts as told by then (PROTOCOL, Figures)
@@ -187,15 +187,16 @@
 def list_changes(plan: Plan) -> list[Change]:
     """The versions of the list after the first, in order; the first of them is version 2.
 
-    `plan.began` must be the Unix time at which the schedule begins, as `since_ms` is told on that clock.
+    `plan.schedule_start` must be the Unix time at which the schedule begins, as `since_ms` is told on that
+    clock.
     What happens first is listed first, also when the lag has shrunk meanwhile.
     """
     versions: list[tuple[float, dict[str, dict[str, Any]]]] = []
     last = -math.inf
     for news in _Servers(plan).news:
         at = max(last, news.at + lag_at(plan, news.at))
-        since = 0 if news.started is None else int((plan.began + news.started) * 1000)
-        entry = entry_of(plan, news.number, since, news.status, news.weight)
+        since = 0 if news.started is None else int((plan.schedule_start + news.started) * 1000)
+        entry = server_entry(plan, news.number, since, news.status, news.weight)
         if at > last:
             versions.append((at, {}))
             last = at
@@ -205,7 +206,7 @@
 
 def router_events(plan: Plan) -> list[Absence]:
     """Which routers, real and hollow alike, are gone, and when; in order of time."""
-    free = dict.fromkeys(range(plan.routers()), 0.0)
+    free = dict.fromkeys(range(plan.router_count()), 0.0)
     absences: list[Absence] = []
     steps = [s for f, fault in enumerate(plan.experiment.faults) for s in _steps(plan, f, fault)]
     for at, fault, random in sorted(steps, key=lambda s: s[0]):
--- a/tests/test_lab_hollow.py
+++ b/tests/test_lab_hollow.py
@@ -19,7 +19,7 @@
 from fleetlab import experiment as lab
 from fleetlab import hollow, module_costs
 from fleetlab.model import Fleet, shared_rings, zipf
-from fleetlab.plan import Addresses, Plan, entry_of, server_name
+from fleetlab.plan import Addresses, Plan, server_entry, server_name
 from fleetlab.results import Role
 from tests.driver import entry, settings
 from tests.loopback import http, run
@@ -188,7 +188,7 @@
         target = (await reader.readuntil(b"\r\n\r\n")).decode().split()[1]
         self.asked.append((number, target))
         if "after=1&" in target:
-            lines = [entry_of(self.plan, 1, status="terminating")]
+            lines = [server_entry(self.plan, 1, status="terminating")]
             writer.write(http("200 OK", orjson.dumps({"index": 2, "snapshot": False, "endpoints": lines})))
         else:
             await self.over.wait()
@@ -204,7 +204,7 @@
         self.targets = {address_of(addresses.peer_listen(n)): n for n in plan.hollow}
         self.places = {n: socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for n in plan.hollow}
         for number, place in self.places.items():
-            place.bind(address_of(addresses.peer_seen(number)))
+            place.bind(address_of(addresses.peer_advertised(number)))
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
         self.told.append(data)
@@ -242,7 +242,7 @@
         began: asyncio.Future[float] = loop.create_future()
         ended = asyncio.Event()
         transport, _ = await loop.create_datagram_endpoint(
-            lambda: between, local_addr=address_of(plan.addresses.everyone())
+            lambda: between, local_addr=address_of(plan.addresses.peers_all())
         )
         part = asyncio.create_task(
             hollow.run(plan, lambda: began.set_result(time.time()), began, ended, schedule)
--- a/tests/test_lab_standins.py
+++ b/tests/test_lab_standins.py
@@ -35,10 +35,10 @@
     Message,
     Part,
     Plan,
-    entry_of,
-    first_list,
-    hollow_lists,
-    listeners,
+    hollow_by_process,
+    initial_server_list,
+    peer_listeners,
+    server_entry,
     server_name,
 )
 from fleetlab.results import Role
@@ -142,11 +142,11 @@
     faults: list[ex.Fault], seed: int
 ) -> None:
     experiment = ex.Experiment(name="x", faults=faults, fleet=ex.Fleet(servers=7, zones=2))
-    plan = Plan("discovery", experiment, Addresses(5, 1000), seed, began=1000.0)
+    plan = Plan("discovery", experiment, Addresses(5, 1000), seed, schedule_start=1000.0)
     changes, lives = sched.list_changes(plan), sched.server_events(plan)
     assert (changes, lives) == (sched.list_changes(plan), sched.server_events(plan))
     assert [c.at for c in changes] == sorted({c.at for c in changes})
-    listed = {e["name"]: e for e in first_list(plan)["endpoints"] if e["type"] == "cache"}
+    listed = {e["name"]: e for e in initial_server_list(plan)["endpoints"] if e["type"] == "cache"}
     for change in changes:
         for entry in change.entries:
             listed[entry["name"]] = entry
@@ -199,8 +199,8 @@
 
 def test_the_first_of_each_process_listen() -> None:
     plan = plan_of(fleet=ex.Fleet(real=2, hollow=10, processes=3, listening=0.5))
-    assert hollow_lists(plan.experiment) == [[2, 5, 8, 11], [3, 6, 9], [4, 7, 10]]
-    assert listeners(plan) == [0, 1, 2, 3, 4, 5, 6, 7]
+    assert hollow_by_process(plan.experiment) == [[2, 5, 8, 11], [3, 6, 9], [4, 7, 10]]
+    assert peer_listeners(plan) == [0, 1, 2, 3, 4, 5, 6, 7]
 
 
 class Watcher:
@@ -222,7 +222,7 @@
         faults = [ex.Fault(kind="servers_lost", at=0.1, lasts=0.2), ex.Fault(kind="changes", at=0.5)]
         async with Stage(discovery.run, plan_of(faults=faults)) as stage:
             status, first = await get(stage.plan, 0)
-            assert (status, first) == (200, first_list(stage.plan))
+            assert (status, first) == (200, initial_server_list(stage.plan))
             assert len(read_list(first)[2]) == 5
             watchers = [Watcher(stage.plan, n) for n in range(3)]
             stage.begin()
@@ -402,12 +402,14 @@
         plan = plan_of("network", fleet=ex.Fleet(real=2, hollow=2, processes=1, listening=0.5))
         at = plan.addresses
         heard: asyncio.Queue[tuple[int, bytes]] = asyncio.Queue()
-        places = [at.peer_seen(n) for n in range(4)]
+        places = [at.peer_advertised(n) for n in range(4)]
         async with Stage(network.run, plan) as stage:
             stage.begin()
             await asyncio.sleep(0.05)
             peers = [
-                Peers(at.peer_listen(n), places, at.everyone(), lambda data, n=n: heard.put_nowait((n, data)))  # type: ignore[misc]
+                Peers(
+                    at.peer_listen(n), places, at.peers_all(), lambda data, n=n: heard.put_nowait((n, data))
+                )  # type: ignore[misc]
                 for n in range(4)
             ]
             for peer in peers:
@@ -443,10 +445,13 @@
                 sender.bind(host_port(at.peer_listen(0)))
                 heard: asyncio.Queue[bytes] = asyncio.Queue()
                 peer = Peers(
-                    at.peer_listen(2), [at.peer_seen(n) for n in range(3)], at.everyone(), heard.put_nowait
+                    at.peer_listen(2),
+                    [at.peer_advertised(n) for n in range(3)],
+                    at.peers_all(),
+                    heard.put_nowait,
                 )
                 await peer.start()
-                sender.sendto(b"word", host_port(at.everyone()))
+                sender.sendto(b"word", host_port(at.peers_all()))
                 twice = [await heard.get(), await heard.get()]
                 assert twice[0] == twice[1] != b"word" and len(twice[0]) == 4
                 peer.close()
@@ -485,7 +490,7 @@
         up = asyncio.create_task(Stage(clients.run, plan).__aenter__())
         await asyncio.sleep(0.15)
         assert not up.done()
-        server = await asyncio.start_server(router, *host_port(plan.addresses.clients(0)))
+        server = await asyncio.start_server(router, *host_port(plan.addresses.client_listen(0)))
         stage = await up
         stage.begin()
         while len(seen) < 20:
@@ -538,6 +543,6 @@
     assert found["x.p99"].value == pytest.approx(0.99, rel=0.01)
     assert found["x.max"].value == 1.0 and course.percentiles("x", [], (50,)) == {}
     index, whole, members = read_list(
-        {"index": 1, "snapshot": True, "endpoints": [entry_of(plan_of(), 1, 5, "terminated", 0.9)]}
+        {"index": 1, "snapshot": True, "endpoints": [server_entry(plan_of(), 1, 5, "terminated", 0.9)]}
     )
     assert (index, whole, members[0].entry.state) == (1, True, api.State.GONE)
