--- a/fleetlab/hollow.py
+++ b/fleetlab/hollow.py
@@ -35,7 +35,7 @@
 from brackenwalk.net.pool import Exchange, Pool, address_of
 from brackenwalk.policy import Router
 from brackenwalk.settings import read_settings
-from fleetlab.model import kind_of, shared_rings, zipf
+from fleetlab.model import event_kind, shared_rings, zipf_weights
 from fleetlab.module_costs import CONTROL, state_size, tell_at
 from fleetlab.plan import Plan, router_config
 from fleetlab.results import Metric, Role
@@ -135,7 +135,7 @@
         due = tell_at(self)
         began = time.thread_time_ns()
         actions = super().handle(now, event)
-        self.meter.add(kind_of(event) if tell_at(self) == due else "tell", began)
+        self.meter.add(event_kind(event) if tell_at(self) == due else "tell", began)
         return actions
 
 
@@ -245,7 +245,7 @@
         self.began = float("inf")  # Unix time
         experiment = plan.experiment
         self.zones = experiment.fleet.zones
-        self.shares = list(accumulate(zipf(experiment.requests.keys, experiment.requests.zipf)))
+        self.shares = list(accumulate(zipf_weights(experiment.requests.keys, experiment.requests.zipf)))
         addresses = plan.addresses
         self.numbers: dict[str, int] = {}  # of servers, by address; those that come later are added
         self.peers = {address_of(addresses.peer_advertised(n)) for n in range(plan.router_count())}
--- a/fleetlab/module_costs.py
+++ b/fleetlab/module_costs.py
@@ -21,7 +21,7 @@
 from brackenwalk.policy import Router
 from brackenwalk.settings import read_settings
 from fleetlab.experiment import Experiment
-from fleetlab.model import Fleet, kind_of, shared_points, zipf
+from fleetlab.model import FleetModel, event_kind, shared_virtual_nodes, zipf_weights
 from fleetlab.plan import Addresses, Plan, initial_server_list, router_settings
 from fleetlab.results import Metric, Role
 
@@ -57,15 +57,15 @@
         began = time.thread_time_ns()
         actions = super().handle(now, event)
         spent = (time.thread_time_ns() - began) / 1e9
-        self.spent[kind_of(event) if tell_at(self) == due else "tell"].append(spent)
+        self.spent[event_kind(event) if tell_at(self) == due else "tell"].append(spent)
         return actions
 
 
-class TimedFleet(Fleet):
+class TimedFleet(FleetModel):
     """Its routers keep their times."""
 
-    def make(self, number: int) -> Router:
-        return Timed(replace(self.conf, number=number), self.random.getrandbits(64), self.now)
+    def make_router(self, number: int) -> Router:
+        return Timed(replace(self.settings, number=number), self.random.getrandbits(64), self.now)
 
 
 def told(experiment: Experiment) -> tuple[api.Settings, list[api.ServerEntry]]:
@@ -86,13 +86,13 @@
     return answer
 
 
-def asked(fleet: Fleet, experiment: Experiment, seed: int) -> list[float]:
+def asked(fleet: FleetModel, experiment: Experiment, seed: int) -> list[float]:
     """Set up what clients and servers of a model do; returns the weights of the keys."""
-    fleet.answers = answers(experiment, seed)
+    fleet.answer_status = answers(experiment, seed)
     fleet.latency = experiment.requests.latency_ms / 1000
-    fleet.writes = experiment.requests.writes
-    fleet.busy = [1.0] * len(fleet.routers)
-    return zipf(experiment.requests.keys, experiment.requests.zipf)
+    fleet.write_share = experiment.requests.writes
+    fleet.router_weights = [1.0] * len(fleet.routers)
+    return zipf_weights(experiment.requests.keys, experiment.requests.zipf)
 
 
 def state_size(router: Router) -> int:
@@ -121,23 +121,23 @@
     conf, entries = told(experiment)
     size, zones = experiment.fleet.real + experiment.fleet.hollow, experiment.fleet.zones
     count = min(PLAYED, size)
-    with shared_points():
-        fleet = Fleet(conf, count, entries, seed, siblings=size, hosted=True)
+    with shared_virtual_nodes():
+        fleet = FleetModel(conf, count, entries, seed, siblings=size, run_timers=True)
     weights = asked(fleet, experiment, seed)
     rate = count * experiment.requests.full_rate
     fleet.run(WARM, rate, weights)
     fleet.messages.clear()
     begin = int(fleet.now)
     fleet.run(QUIET, rate, weights)
-    quiet = fleet.told_in(range(begin, begin + QUIET))
+    quiet = fleet.fleet_traffic(range(begin, begin + QUIET))
     contents = {"quiet": list(fleet.messages)}
     fleet.messages.clear()
     begin = int(fleet.now)
     if zones > 1:
-        fleet.lose(e.server for e in entries if e.zone == "zone-1" and e.server != ORIGIN)
+        fleet.fail(e.server for e in entries if e.zone == "zone-1" and e.server != ORIGIN)
     fleet.run(STORM, rate, weights)
     left = 1 - len(range(1, size, zones)) / size  # the zone's routers are silent as well
-    storm = [(m * left, b * left) for m, b in fleet.told_in(range(begin, begin + STORM))]
+    storm = [(m * left, b * left) for m, b in fleet.fleet_traffic(range(begin, begin + STORM))]
     return quiet, storm, contents | {"storm": list(fleet.messages)}
 
 
@@ -189,11 +189,11 @@
     Returns the seconds for each event by kind, the instance, and how many messages it told.
     """
     size = conf.siblings
-    fleet = TimedFleet(conf, 1, entries, seed, siblings=size, hosted=True)
+    fleet = TimedFleet(conf, 1, entries, seed, siblings=size, run_timers=True)
     weights = asked(fleet, experiment, seed)
     until, chance, at = WARM + TIMED, random.Random(seed), 0.0
     while contents and rate > 0 and (at := at + chance.expovariate(rate)) < until:
-        fleet.later(at, 0, api.PeerMessage(chance.choice(contents)))
+        fleet.schedule(at, 0, api.PeerMessage(chance.choice(contents)))
     router = fleet.routers[0]
     assert isinstance(router, Timed)
     fleet.run(WARM, experiment.requests.full_rate, weights)
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -1,5 +1,5 @@
 """The model of a fleet, which lives in the laboratory."""
 
-from fleetlab.model import LATENCY, Fleet, zipf
+from fleetlab.model import LATENCY_S, FleetModel, zipf_weights
 
-__all__ = ["LATENCY", "Fleet", "zipf"]
+__all__ = ["LATENCY_S", "FleetModel", "zipf_weights"]
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -11,13 +11,13 @@
 from brackenwalk import interface as api
 from brackenwalk import ring
 from tests.driver import entry, settings
-from tests.fleet import Fleet, zipf
+from tests.fleet import FleetModel, zipf_weights
 
 LOAD = 0.5  # of what warm servers can do, by the requests of clients
 CONF = settings(peers=True, cold_share=0.13, ramp=23.0, fall_multiple=3.0, fall_window=1.5)
 
 
-def worst(fleet: Fleet, cold: list[api.ServerEntry], fair: float) -> float:
+def worst(fleet: FleetModel, cold: list[api.ServerEntry], fair: float) -> float:
     """The fullest window of any cold server, as a part of what makes it fall over at its age."""
     most = 0.0
     for server in cold:
@@ -44,9 +44,9 @@
     def play(self) -> tuple[float, float]:
         """The worst window of all cold servers, and the part of the requests that is served."""
         old = [entry(f"old{i}", zone="abc"[i % 3]) for i in range(self.servers)]
-        fleet = Fleet(CONF, self.routers, old)
-        fleet.heard = self.heard
-        keys = zipf(20 * self.servers)
+        fleet = FleetModel(CONF, self.routers, old)
+        fleet.deliver_messages = self.heard
+        keys = zipf_weights(20 * self.servers)
         fleet.run(0.6, self.rate, keys)
         new = [entry(f"new{i}", zone="abc"[i % 3], since=fleet.now - 0.3) for i in range(self.cold)]
         listed = old[: self.servers - self.cold] + new
@@ -54,10 +54,10 @@
             if number < self.killed * self.routers:
                 fleet.restart(number, listed)
             else:
-                fleet.feed(number, api.ServerList(api.ListKind.FULL, tuple(listed)))
-        fleet.ended.clear()
+                fleet.dispatch(number, api.ServerList(api.ListKind.FULL, tuple(listed)))
+        fleet.finished.clear()
         fleet.run(1.6, self.rate, keys)
-        return worst(fleet, new, self.rate / self.servers), fleet.ended["served"] / fleet.ended.total()
+        return worst(fleet, new, self.rate / self.servers), fleet.finished["served"] / fleet.finished.total()
 
 
 @pytest.mark.parametrize(
@@ -82,12 +82,12 @@
 
 def test_where_all_are_cold_what_they_do_not_bear_is_told_to_come_back() -> None:
     """With no warm server left all went to cold ones, eight times what they bear."""
-    fleet = Fleet(replace(CONF, max_retry_after=2.0), 40, [entry("old")])
+    fleet = FleetModel(replace(CONF, max_retry_after=2.0), 40, [entry("old")])
     cold = [entry(f"new{i}", since=fleet.now) for i in range(20)]
     for number in range(40):
-        fleet.feed(number, api.ServerList(api.ListKind.FULL, tuple(cold)))
-    fleet.run(1.6, 2000.0, zipf(400))
+        fleet.dispatch(number, api.ServerList(api.ListKind.FULL, tuple(cold)))
+    fleet.run(1.6, 2000.0, zipf_weights(400))
     assert worst(fleet, cold, 2000.0 / 20) <= 0.75
-    assert 0.1 < fleet.ended["served"] / fleet.ended.total() < 0.4
-    assert min(fleet.pauses) >= 0.75 and max(fleet.pauses) <= 1.5
-    assert max(fleet.pauses) - min(fleet.pauses) > 0.5  # not all at once
+    assert 0.1 < fleet.finished["served"] / fleet.finished.total() < 0.4
+    assert min(fleet.retry_afters) >= 0.75 and max(fleet.retry_afters) <= 1.5
+    assert max(fleet.retry_afters) - min(fleet.retry_afters) > 0.5  # not all at once
--- a/tests/test_lab_hollow.py
+++ b/tests/test_lab_hollow.py
@@ -18,7 +18,7 @@
 from brackenwalk.policy import Router
 from fleetlab import experiment as lab
 from fleetlab import hollow, module_costs
-from fleetlab.model import Fleet, shared_rings, zipf
+from fleetlab.model import FleetModel, shared_rings, zipf_weights
 from fleetlab.plan import Addresses, Plan, server_entry, server_name
 from fleetlab.results import Role
 from tests.driver import entry, settings
@@ -32,22 +32,22 @@
 
 
 def test_a_sample_of_listeners_hears_all_that_others_tell() -> None:
-    fleet = Fleet(CONF, 12, SERVERS, siblings=36, listeners=3)
-    fleet.run(2.0, 600.0, zipf(50))
+    fleet = FleetModel(CONF, 12, SERVERS, siblings=36, listeners=3)
+    fleet.run(2.0, 600.0, zipf_weights(50))
     told, heard = Counter[int](), Counter[int]()
-    for (number, _), count in fleet.told.items():
+    for (number, _), count in fleet.messages_out.items():
         told[number] += count
-    for (number, _), count in fleet.hears.items():
+    for (number, _), count in fleet.messages_in.items():
         heard[number] += count
     assert len(fleet.listeners) == 3 and set(heard) == set(fleet.listeners)
     assert all(heard[n] == told.total() - told[n] for n in fleet.listeners)
-    arrived = fleet.events["peer"]
+    arrived = fleet.event_counts["peer"]
     assert 0 <= heard.total() - arrived <= 3  # what is still on the way
-    assert sum(m for m, _ in fleet.told_in(range(100, 102))) == 3 * told.total()  # one stands for three
-    assert sum(b for _, b in fleet.told_in(range(100, 102))) == 3 * sum(map(len, fleet.messages))
+    assert sum(m for m, _ in fleet.fleet_traffic(range(100, 102))) == 3 * told.total()  # one stands for three
+    assert sum(b for _, b in fleet.fleet_traffic(range(100, 102))) == 3 * sum(map(len, fleet.messages))
 
 
-def outcomes(fleet: Fleet) -> list[api.Outcome]:
+def outcomes(fleet: FleetModel) -> list[api.Outcome]:
     """All outcomes that routers are told from now on, in order."""
     seen: list[api.Outcome] = []
 
@@ -55,42 +55,42 @@
         seen.extend([event] if isinstance(event, api.Outcome) else [])
         feed(number, event)
 
-    vars(fleet)["feed"] = lambda number, event, feed=fleet.feed: keep(feed, number, event)
+    vars(fleet)["dispatch"] = lambda number, event, feed=fleet.dispatch: keep(feed, number, event)
     return seen
 
 
 def test_a_lost_server_is_silent_first_and_then_can_not_be_reached() -> None:
-    fleet = Fleet(settings(max_attempts=1), 1, [entry("a")], hosted=True)
+    fleet = FleetModel(settings(max_attempts=1), 1, [entry("a")], run_timers=True)
     seen = outcomes(fleet)
-    fleet.lose(["a"])
+    fleet.fail(["a"])
     fleet.run(2.0, 5.0, [1.0])
     ends = Counter(o.status for o in seen)
     assert ends[api.Status.TIMEOUT] == 1 and ends[api.Status.CONNECT_FAILED] >= 1
     assert all(o.latency == CONF.dial_timeout for o in seen if o.status is api.Status.CONNECT_FAILED)
-    assert fleet.ended["served"] == 0 < fleet.ended["failed"]
-    fleet.find(["a"])
+    assert fleet.finished["served"] == 0 < fleet.finished["failed"]
+    fleet.recover(["a"])
     fleet.run(4.0, 5.0, [1.0])
-    assert fleet.ended["served"] > 5
+    assert fleet.finished["served"] > 5
 
 
 def test_what_is_under_way_at_a_server_that_vanishes_times_out() -> None:
-    fleet = Fleet(settings(max_attempts=1), 1, [entry("a")])
-    fleet.keys["r"], fleet.due["r"] = "k", fleet.now + 1.0
-    fleet.feed(0, api.Request("r", "read", 1.0, "k"))
-    fleet.lose(["a"])
-    at, _, _, event = fleet.pending[0]
+    fleet = FleetModel(settings(max_attempts=1), 1, [entry("a")])
+    fleet.request_keys["r"], fleet.request_deadlines["r"] = "k", fleet.now + 1.0
+    fleet.dispatch(0, api.Request("r", "read", 1.0, "k"))
+    fleet.fail(["a"])
+    at, _, _, event = fleet.event_queue[0]
     assert at == fleet.now + 1.0
     assert isinstance(event, api.Outcome) and event.status is api.Status.TIMEOUT and not event.closed
 
 
 def test_routers_that_vanished_are_asked_and_told_nothing() -> None:
-    fleet = Fleet(CONF, 4, SERVERS)
-    fleet.run(1.0, 200.0, zipf(50))
-    fleet.lose([], [0])
-    before, heard = fleet.routers[0].taken, sum(c for (n, _), c in fleet.hears.items() if n == 0)
-    fleet.run(1.0, 200.0, zipf(50))
+    fleet = FleetModel(CONF, 4, SERVERS)
+    fleet.run(1.0, 200.0, zipf_weights(50))
+    fleet.fail([], [0])
+    before, heard = fleet.routers[0].taken, sum(c for (n, _), c in fleet.messages_in.items() if n == 0)
+    fleet.run(1.0, 200.0, zipf_weights(50))
     assert fleet.routers[0].taken == before
-    assert sum(c for (n, _), c in fleet.hears.items() if n == 0) == heard
+    assert sum(c for (n, _), c in fleet.messages_in.items() if n == 0) == heard
 
 
 def test_shared_rings_are_those_of_each_router_alone() -> None:
--- a/tests/test_telling.py
+++ b/tests/test_telling.py
@@ -13,7 +13,7 @@
 from brackenwalk.demand import CHECK, HEAD, LINE, LINES, NAME, Demand, stamp_of
 from brackenwalk.telling import DATAGRAM, FRESH, HEARD, Telling
 from fleetlab import model
-from fleetlab.model import Fleet, shared_rings, zipf
+from fleetlab.model import FleetModel, shared_rings, zipf_weights
 from tests.driver import Driver, entry, settings
 
 NOTHING = bytes(CHECK) + HEAD.pack(0, 0, 0)
@@ -30,13 +30,13 @@
 @pytest.mark.parametrize("routers", [4, 40, 230])
 def test_what_all_find_ailing_is_told_by_few(routers: int, monkeypatch: pytest.MonkeyPatch) -> None:
     """Each router that met one of a zone's dead servers told all others, and again while it met them."""
-    monkeypatch.setattr(model, "ON_THE_WAY", 0.027)  # the longest of any site
+    monkeypatch.setattr(model, "MESSAGE_DELAY_S", 0.027)  # the longest of any site
     with shared_rings():
-        fleet = Fleet(settings(peers=True, aside=False), routers, SERVERS, hosted=True)
-        keys = zipf(240)
+        fleet = FleetModel(settings(peers=True, aside=False), routers, SERVERS, run_timers=True)
+        keys = zipf_weights(240)
         fleet.run(0.5, 12.0 * routers, keys)
         fleet.messages.clear()
-        fleet.lose([s.server for s in SERVERS if s.zone == "a"])
+        fleet.fail([s.server for s in SERVERS if s.zone == "a"])
         fleet.run(4.0, 12.0 * routers, keys)
     told = [m for m in fleet.messages if names_in(m)]
     assert 0 < len(told) < 4.0 * 15  # some five a second were counted, of 230 as of 40
