--- a/fleetlab/sweep.py
+++ b/fleetlab/sweep.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from fleetlab.experiment import Experiment, at_point, points
+from fleetlab.experiment import Experiment, at_point, sweep_points
 from fleetlab.results import read_result
 
 
@@ -44,7 +44,7 @@
     Plays go round all points once before any gets its second, so a sweep that is cut short is one with fewer
     plays of each.
     """
-    every = points(experiment)
+    every = sweep_points(experiment)
     for i in range(experiment.sweep.plays):
         for place in places:
             seed = experiment.seed + i
