--- a/fleetlab/plan.py
+++ b/fleetlab/plan.py
@@ -1,9 +1,9 @@
-"""What the runner tells each process it starts, and what that process says back.
+"""The plan that the runner gives each worker process, and the messages between them.
 
-`python -m fleetlab.worker PLAN` reads the plan, starts its part and prints one JSON object a line on standard
-output: first `{"ready": true}`, at the end `{"roles": {NAME: Role, ...}}`. On standard input it gets
-`{"began": T}`, the Unix time at which the schedule begins; it ends some time after the schedule has, when
-standard input closes, or on SIGTERM. Logs go to standard error.
+`python -m fleetlab.worker PLAN` reads the plan, starts its part and prints one JSON object per line on
+standard output: first `{"ready": true}`, at the end `{"roles": {NAME: Role, ...}}`. On standard input it
+receives `{"began": T}`, the Unix time at which the schedule begins. It ends some time after the schedule,
+when standard input closes, or on SIGTERM. Logs go to standard error.
 """
 
 from __future__ import annotations
@@ -20,73 +20,80 @@
 
 
 class Addresses(msgspec.Struct, frozen=True):
-    """Every party's address: all in 127.`net`.0.0/16, from one port on; routers and servers count from 0."""
+    """The addresses of all parties, `HOST:PORT` in 127.`net`.0.0/16; routers and servers count from 0."""
 
     net: int
-    port: int
+    port: int  # the first of those in use; each kind of address has its own
 
     def _at(self, block: int, number: int, port: int) -> str:
         return f"127.{self.net}.{block + (number >> 8)}.{number & 255}:{self.port + port}"
 
     def client_listen(self, router: int) -> str:
-        """Where a router listens for clients."""
+        """Return the address where a router accepts clients (TCP)."""
         return self._at(0, router + 1, 0)
 
     def peer_listen(self, router: int) -> str:
-        """Where a router hears peers (UDP)."""
+        """Return the address where a router receives peer messages (UDP)."""
         return self._at(0, router + 1, 1)
 
     def peer_advertised(self, router: int) -> str:
-        """From where the others hear it: its place in `peers`; a socket of the network's stand-in."""
+        """Return a router's address in its peers' `peers` lists (UDP): a socket of the network stand-in.
+
+        The stand-in relays what is sent there, and sends the router's own messages from there.
+        """
         return self._at(64, router + 1, 1)
 
     def peers_all(self) -> str:
-        """The address of all peers (UDP), a socket of the network's stand-in."""
+        """Return the address that reaches all peers (UDP): a socket of the network stand-in."""
         return self._at(250, 1, 1)
 
     def discovery(self, router: int) -> str:
-        """Where a router asks discovery; one for each, so that calls can be told apart."""
+        """Return the address where a router calls discovery: one per router, to tell calls apart."""
         return self._at(192, router + 1, 2)
 
     def server(self, number: int) -> str:
-        """Where a cache server listens; each machine that replaces another has a new number."""
+        """Return a cache server's address; the replacement of a server gets a new number."""
         return self._at(128, number + 1, 3)
 
     def origin(self) -> str:
+        """Return the address of the origin."""
         return self._at(251, 1, 4)
 
 
 class Plan(msgspec.Struct, frozen=True):
-    """One process's part."""
+    """What one worker process plays."""
 
     part: Part
     experiment: Experiment
     addresses: Addresses
     seed: int
-    hollow: list[int] = []  # numbers of the routers in this process; real ones have the first numbers
+    hollow: list[int] = []  # numbers of this process's hollow routers; real routers have the first numbers
     # Unix time, set by the line `{"began": T}` on standard input
     schedule_start: float = msgspec.field(default=0.0, name="began")
 
     def router_count(self) -> int:
+        """Return the number of routers, real and hollow."""
         return self.experiment.fleet.real + self.experiment.fleet.hollow
 
 
 def hollow_by_process(experiment: Experiment) -> list[list[int]]:
-    """The numbers of the hollow routers in each process, dealt round so that all hold all zones."""
+    """Return the numbers of each process's hollow routers, dealt round-robin so that each has all zones."""
     fleet = experiment.fleet
     numbers = list(range(fleet.real, fleet.real + fleet.hollow))
     return [numbers[p :: fleet.processes] for p in range(min(fleet.processes, fleet.hollow))]
 
 
 def peer_listeners(plan: Plan) -> list[int]:
-    """Numbers of the routers that hear peers: the real ones and the first of each process's list."""
+    """Return the routers that receive peer messages: the real ones, and the first of each process's list."""
     lists = hollow_by_process(plan.experiment)
-    heard = [n for numbers in lists for n in numbers[: round(plan.experiment.fleet.listening * len(numbers))]]
-    return sorted([*range(plan.experiment.fleet.real), *heard])
+    hollow = [
+        n for numbers in lists for n in numbers[: round(plan.experiment.fleet.listening * len(numbers))]
+    ]
+    return sorted([*range(plan.experiment.fleet.real), *hollow])
 
 
 class Message(msgspec.Struct, omit_defaults=True):
-    """A line from a worker."""
+    """A line that a worker prints for the runner."""
 
     ready: bool = False
     roles: dict[str, Role] = {}
@@ -94,18 +101,19 @@
 
 
 def zone_name(number: int) -> str:
+    """Return the name of a zone."""
     return f"zone-{number}"
 
 
 def server_name(number: int) -> str:
-    """As discovery lists it; no two machines have one name."""
+    """Return a cache server's name in discovery's list, distinct for each number."""
     return f"s-{zlib.crc32(b'server-%d' % number):08x}"
 
 
 def server_entry(
     plan: Plan, number: int, since_ms: int = 0, status: str = "in_service", weight: float = 1.0
 ) -> dict[str, Any]:
-    """A cache server's line of the list, in discovery's form."""
+    """Return a cache server's entry in the server list, in discovery's format."""
     zone = number % plan.experiment.fleet.zones
     return {
         "name": server_name(number),
@@ -120,7 +128,7 @@
 
 
 def origin_entry(plan: Plan) -> dict[str, Any]:
-    """The origin's line of the list."""
+    """Return the origin's entry in the server list, in discovery's format."""
     return {
         "name": "s-origin",
         "address": plan.addresses.origin(),
@@ -134,13 +142,13 @@
 
 
 def initial_server_list(plan: Plan) -> dict[str, Any]:
-    """The list at the start, in discovery's form; version 1."""
+    """Return the server list at the start, version 1, in discovery's format."""
     servers = [server_entry(plan, n) for n in range(plan.experiment.fleet.servers)]
     return {"index": 1, "snapshot": True, "endpoints": [*servers, origin_entry(plan)]}
 
 
 def router_settings(experiment: Experiment, number: int) -> dict[str, Any]:
-    """A router's settings, in the form and words of the simulator's first message (WIRE, section 6)."""
+    """Return a router's settings in the format of the simulator's first message (WIRE, section 6)."""
     fleet = experiment.fleet
     aim = experiment.shortest_aim
     return {
@@ -213,7 +221,7 @@
 
 
 def router_config(plan: Plan, number: int, memory_mb: int = 192, sockets: int = 1024) -> dict[str, Any]:
-    """The configuration file of one router, real or hollow (DEPLOY)."""
+    """Return the configuration file of a real or hollow router (DEPLOY)."""
     addresses = plan.addresses
     return {
         "name": f"n{number}",
@@ -234,13 +242,13 @@
     "Message",
     "Part",
     "Plan",
-    "router_config",
-    "server_entry",
-    "initial_server_list",
     "hollow_by_process",
-    "peer_listeners",
+    "initial_server_list",
     "origin_entry",
-    "server_name",
+    "peer_listeners",
+    "router_config",
     "router_settings",
+    "server_entry",
+    "server_name",
     "zone_name",
 ]
--- a/fleetlab/results.py
+++ b/fleetlab/results.py
@@ -1,4 +1,4 @@
-"""The result file: what was played, where, and what was measured, for each role."""
+"""The format of result files (JSON): what was played and where, and the measurements of each role."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Machine(msgspec.Struct, frozen=True):
-    """Where it was played."""
+    """The machine that an experiment was played on."""
 
     processor: str
     cores: int
@@ -19,28 +19,29 @@
 
 
 class Metric(msgspec.Struct):
-    """One figure of a role: the mean over its instances, or of the whole, and the range of instances."""
+    """A figure of a role: the mean over its instances, or a total, and the range over instances."""
 
     value: float
     unit: str
     low: float = 0.0
     high: float = 0.0
-    count: int = 0  # of what the mean was taken over
+    count: int = 0  # samples or instances behind the mean
 
 
 class Role(msgspec.Struct):
-    """What was measured of all instances of a role.
+    """The measurements of all instances of a role.
 
-    Metrics by name, over the schedule and not the start, unless the name begins with `start.`:
+    Metrics by name. They cover the schedule and not the start, unless the name begins with `start.`:
 
-    - `cpu.share`, of a core for each instance, all of its work; `cpu.us.KIND`, microseconds for each event of
-      a kind, and `rate.KIND`, such events a second at each instance, where KIND is list, change, request,
-      outcome, peer, timer, call or tell; `cpu.control`, share of a core for all but request and outcome
-    - `memory.mb`, `state.mb` (of one instance of the module), `descriptors`, `connections`
-    - `bytes.in.peers`, `bytes.out.peers`, `bytes.in.discovery`, `bytes.out.discovery`, a second at each
-    - `calls` a second, `calls.failed`, `calls.waiting` (most in the queue)
+    - `cpu.share`, cores used by each instance for all of its work; `cpu.us.KIND`, microseconds per event of a
+      kind, and `rate.KIND`, such events per second at each instance, where KIND is list, change, request,
+      outcome, peer, timer, call or tell; `cpu.control`, cores used for all but request and outcome
+    - `memory.mb`, `state.mb` (of one instance of the decision module), `descriptors`, `connections`
+    - `bytes.in.peers`, `bytes.out.peers`, `bytes.in.discovery`, `bytes.out.discovery`, per second at each
+      instance
+    - `calls` per second, `calls.failed`, `calls.waiting` (greatest length of the queue)
     - `force.p50`, `force.p99`, `force.max`, seconds until a change is in force
-    - `cold.window`, the fullest window of a cold server as a part of what makes it fall
+    - `cold.window`, requests in a cold server's fullest window as a share of the overload limit
     - `served`, `late`, `failed`, shares of requests
     """
 
@@ -50,7 +51,7 @@
 
 
 class Result(msgspec.Struct):
-    """One play."""
+    """The result of one play."""
 
     experiment: Experiment
     seed: int
@@ -59,17 +60,19 @@
     command: str
     began: str  # UTC, ISO 8601
     machine: Machine
-    roles: dict[str, Role] = {}  # real, hollow, discovery, caches, origin, clients, network, lab
-    notes: list[str] = []  # what went otherwise than the file says
-    broken_off: bool = False
+    roles: dict[
+        str, Role
+    ] = {}  # real, hollow, full, module, discovery, caches, origin, clients, network, lab
+    notes: list[str] = []  # deviations from the experiment file, and warnings
+    broken_off: bool = False  # the play failed or was interrupted; the metrics are partial
 
 
 def write_result(path: Path, result: Result) -> None:
-    """Write a result file, readable by eye."""
+    """Write a result file as indented JSON, and its directory if missing."""
     path.parent.mkdir(parents=True, exist_ok=True)
     path.write_bytes(msgspec.json.format(msgspec.json.encode(result), indent=1) + b"\n")
 
 
 def read_result(path: Path) -> Result:
-    """Read a result file. Raises msgspec.ValidationError where it is none."""
+    """Read a result file. Raises OSError, or msgspec.MsgspecError for a file of another form."""
     return msgspec.json.decode(path.read_bytes(), type=Result)
