--- a/fleetlab/model.py
+++ b/fleetlab/model.py
@@ -1,6 +1,6 @@
-"""Many instances of the module on one simulated clock: what all of them send, tell and hear.
+"""A discrete-event simulation of many instances of the decision module, with clients and servers as a model.
 
-No sockets and no real time. Routers share nothing but messages; clients and servers are a model.
+It uses neither sockets nor real time. The routers share nothing but peer messages.
 """
 
 from __future__ import annotations
@@ -22,18 +22,18 @@
 from brackenwalk import ring
 from brackenwalk.policy import Router
 
-LATENCY_S = 0.05  # seconds that an answer takes
-MESSAGE_DELAY_S = 0.001  # seconds that a message between routers takes
-REQUEST_TIMEOUT_S = 1.0  # that a client gives a request
+LATENCY_S = 0.05  # response time of a server
+MESSAGE_DELAY_S = 0.001  # of a message between routers
+REQUEST_TIMEOUT_S = 1.0  # after which clients give up
 
 
 def zipf_weights(keys: int, power: float = 1.0) -> list[float]:
-    """The weights of keys, the most asked for first."""
+    """Return the relative popularity of keys, the most popular first."""
     return [1 / (i + 2) ** power for i in range(keys)]
 
 
 def event_kind(event: api.Event) -> str:
-    """An event's kind, in the words of `results.Role`."""
+    """Return an event's kind as it appears in the names of metrics (`results.Role`)."""
     match event:
         case api.Request():
             return "request"
@@ -44,7 +44,7 @@
         case api.TimerFired():
             return "timer"
         case api.ServerList(kind=api.ListKind.DELTA, entries=()):
-            return "call"  # a watch's answer with no news
+            return "call"  # a watch that ended without changes
         case api.ServerList():
             kinds = {api.ListKind.DELTA: "change", api.ListKind.FAILED: "call", api.ListKind.MOVED: "call"}
             return kinds.get(event.kind, "list")
@@ -54,37 +54,38 @@
 
 @contextmanager
 def shared_virtual_nodes() -> Iterator[None]:
-    """Let all instances of a process share the virtual nodes of each server, so that many start fast.
+    """Cache the virtual nodes of each server for all instances of this process, so that many start quickly.
 
-    They are a pure function of a server's name and their number. Costs of lists and changes that are
-    measured meanwhile lack the hashing, which each router on its own has to do.
+    Virtual nodes are a pure function of a server's name and their number. Costs of lists and changes that are
+    measured in this context lack the hashing, which a router in a process of its own has to do.
     """
     with patch.object(ring, "virtual_nodes", cache(ring.virtual_nodes)):
         yield
 
 
 @contextmanager
-def shared_rings(kept: int = 8) -> Iterator[None]:
-    """Let all instances of a process share the order of the ring as well, of the latest `kept` lists.
+def shared_rings(max_lists: int = 8) -> Iterator[None]:
+    """Cache the order of the ring as well, for the latest `max_lists` server lists.
 
-    For many instances with the same list: each keeps its own owners, but the sorting is done once. Changes
-    that are measured meanwhile cost far less than those of a router on its own (`module_costs` has these).
+    For many instances with the same list: each keeps its own owner objects, but the sorting is done once.
+    Changes that are measured in this context cost far less than in a process of their own (for these see
+    `module_costs`).
     """
-    own = ring.Ring.settle
-    memo: dict[frozenset[tuple[int, int]], tuple[array[int], list[int], array[float]]] = {}
+    original_settle = ring.Ring.settle
+    cached: dict[frozenset[tuple[int, int]], tuple[array[int], list[int], array[float]]] = {}
 
     def settle(self: ring.Ring[Any]) -> None:
         if not self.moved:
             return
         key = frozenset((owner.name, len(points)) for owner, points in self.points.items())
-        if key not in memo:
-            own(self)
-            memo[key] = self.positions, [owner.name for owner in self.owners], self.ranks
-            while len(memo) > kept:
-                del memo[next(iter(memo))]
+        if key not in cached:
+            original_settle(self)
+            cached[key] = self.positions, [owner.name for owner in self.owners], self.ranks
+            while len(cached) > max_lists:
+                del cached[next(iter(cached))]
             return
         owners = {owner.name: owner for owner in self.points}
-        self.positions, names, self.ranks = memo[key]
+        self.positions, names, self.ranks = cached[key]
         self.owners = list(map(owners.__getitem__, names))
         self.moved.clear()
 
@@ -93,101 +94,107 @@
 
 
 class FleetModel:
-    """Routers that share nothing but messages; `answers` says what becomes of a send, after a time.
+    """A simulated fleet of routers, and a model of its clients and servers.
 
-    `siblings` is what the routers are told their number is: where it is larger than `routers`, each of them
-    stands for several, which counts by the fleet take in. At most `listeners` of them hear messages, evenly
-    spread, as all hearing all costs the square; None is all. `run_timers`: timers and cancels are carried
-    out.
+    `siblings` is the number of routers in the routers' settings. Where it is larger than `routers`, each
+    simulated router stands for several, and fleet-wide counts are scaled up accordingly. At most `listeners`
+    routers receive peer messages, evenly spaced, as the cost of all receiving grows with the square of the
+    fleet; None means all. With `run_timers`, timers fire and cancels are carried out. `answer_status` decides
+    the outcome of an attempt at a server.
     """
 
     def __init__(
         self,
-        conf: api.Settings,
+        settings: api.Settings,
         routers: int,
-        saved: list[api.ServerEntry],
+        server_list: list[api.ServerEntry],
         seed: int = 1,
         *,
         siblings: int | None = None,
         listeners: int | None = None,
         run_timers: bool = False,
     ) -> None:
-        self.settings = replace(conf, siblings=siblings or routers)
-        self.routers_per_instance = self.settings.siblings / routers  # routers, for each one played
+        self.settings = replace(settings, siblings=siblings or routers)
+        self.routers_per_instance = self.settings.siblings / routers
         self.run_timers = run_timers
         self.now = 100.0
         self.random = random.Random(seed)
-        self.sent: dict[str, list[tuple[float, str]]] = defaultdict(list)  # to each server, when and for what
-        self.finished: Counter[str] = Counter()
-        self.retry_afters: list[float] = []  # after which clients that were refused are to come back
-        self.deliver_messages = True  # whether messages between routers arrive
-        few = min(routers, routers if listeners is None else listeners)
-        self.listeners = [i * routers // few for i in range(few)] if few else []
-        self.answer_status: Callable[[str], api.Status] = lambda server: api.Status.OK
-        self.router_weights: list[float] | None = (
-            None  # each router's part of the requests; None: some get `uneven`
+        self.sent: dict[str, list[tuple[float, str]]] = defaultdict(list)  # times and keys, by server
+        self.finished: Counter[str] = Counter()  # requests, by how they ended
+        self.retry_afters: list[float] = []  # seconds after which refused clients are to retry
+        self.deliver_messages = True  # between routers
+        listener_count = min(routers, routers if listeners is None else listeners)
+        self.listeners = (
+            [i * routers // listener_count for i in range(listener_count)] if listener_count else []
         )
-        self.write_share = 0.0  # share of requests
+        self.answer_status: Callable[[str], api.Status] = lambda server: api.Status.OK
+        # each router's share of the requests; None: every eighth gets `busy_factor` times as many
+        self.router_weights: list[float] | None = None
+        self.write_share = 0.0  # of requests
         self.latency = LATENCY_S
-        self.hung_servers: set[str] = set()  # servers that hang
-        self.lost_servers: set[str] = set()  # servers that vanished
-        self.lost_routers: set[int] = set()  # routers that vanished
-        self.dropped_connections: set[tuple[int, str]] = (
-            set()
-        )  # lost servers whose kept connection a router has given up
-        self.request_keys: dict[str, str] = {}  # of the requests under way
-        self.request_deadlines: dict[str, float] = {}  # when clients give them up
-        self.attempt_counts: Counter[str] = Counter()
-        self.event_queue: list[tuple[float, int, int, api.Event]] = []
+        self.hung_servers: set[str] = set()
+        self.lost_servers: set[str] = set()
+        self.lost_routers: set[int] = set()
+        # lost servers to which a router has closed its kept connection, as (router, server)
+        self.dropped_connections: set[tuple[int, str]] = set()
+        self.request_keys: dict[str, str] = {}  # of requests in flight
+        self.request_deadlines: dict[str, float] = {}  # when their clients give up
+        self.attempt_counts: Counter[str] = Counter()  # by request
+        self.event_queue: list[tuple[float, int, int, api.Event]] = []  # time, sequence number, router, event
         self.sequence = 0
-        self.event_counts: Counter[str] = Counter()  # by kind, at all that are played
-        self.messages_out: Counter[tuple[int, int]] = Counter()  # messages by router and second
+        self.event_counts: Counter[str] = Counter()  # by kind, of all simulated routers
+        self.messages_out: Counter[tuple[int, int]] = Counter()  # by router and second
         self.bytes_out: Counter[tuple[int, int]] = Counter()
-        self.messages_in: Counter[tuple[int, int]] = Counter()  # messages by listener and second
+        self.messages_in: Counter[tuple[int, int]] = Counter()  # by listener and second
         self.bytes_in: Counter[tuple[int, int]] = Counter()
-        self.messages: list[bytes] = []  # what was told, in order
+        self.messages: list[bytes] = []  # contents of all messages sent, in order
         self.routers: list[Router] = []
         for number in range(routers):
             self.routers.append(self.make_router(number))
-            self.dispatch(number, api.ServerList(api.ListKind.SAVED, tuple(saved)))
+            self.dispatch(number, api.ServerList(api.ListKind.SAVED, tuple(server_list)))
 
     def make_router(self, number: int) -> Router:
+        """Create the router of a number, without any state."""
         return Router(replace(self.settings, number=number), self.random.getrandbits(64), self.now)
 
-    def restart(self, number: int, saved: list[api.ServerEntry]) -> None:
-        """A killed router begins again and knows nothing but a list."""
+    def restart(self, number: int, server_list: list[api.ServerEntry]) -> None:
+        """Kill a router and start it anew with nothing but a server list."""
         self.event_queue = [p for p in self.event_queue if p[2] != number]
         heapq.heapify(self.event_queue)
         self.routers[number] = self.make_router(number)
-        self.dispatch(number, api.ServerList(api.ListKind.SAVED, tuple(saved)))
+        self.dispatch(number, api.ServerList(api.ListKind.SAVED, tuple(server_list)))
 
     def fail(self, servers: Iterable[str], routers: Iterable[int] = ()) -> None:
-        """Servers and routers vanish: what is under way at them, and what is sent later, finds silence."""
+        """Take servers and routers down: attempts in flight at these servers and later ones get no answer."""
         self.lost_servers |= set(servers)
         self.lost_routers |= set(routers)
         self.event_queue = [p for p in self.event_queue if p[2] not in self.lost_routers]
-        for at, count, number, event in list(self.event_queue):
-            if isinstance(event, api.Outcome) and self._server(number, event) in self.lost_servers:
+        for at, sequence, number, event in list(self.event_queue):
+            if isinstance(event, api.Outcome) and self._server_of(number, event) in self.lost_servers:
                 late = replace(event, status=api.Status.TIMEOUT, closed=False, latency=REQUEST_TIMEOUT_S)
-                self.event_queue.remove((at, count, number, event))
-                self.event_queue.append((self.request_deadlines.get(event.request, at), count, number, late))
+                self.event_queue.remove((at, sequence, number, event))
+                self.event_queue.append(
+                    (self.request_deadlines.get(event.request, at), sequence, number, late)
+                )
         heapq.heapify(self.event_queue)
 
     def recover(self, servers: Iterable[str], routers: Iterable[int] = ()) -> None:
-        """They are back."""
+        """Bring servers and routers back up."""
         self.lost_servers -= set(servers)
         self.lost_routers -= set(routers)
         self.dropped_connections = {d for d in self.dropped_connections if d[1] in self.lost_servers}
 
-    def _server(self, number: int, event: api.Outcome) -> str | None:
+    def _server_of(self, number: int, event: api.Outcome) -> str | None:
         attempt = self.routers[number].attempts.get((event.request, event.attempt))
         return attempt.server.entry.server if attempt is not None else None
 
     def schedule(self, delay: float, number: int, event: api.Event) -> None:
+        """Queue an event for a router, `delay` seconds from now."""
         self.sequence += 1
         heapq.heappush(self.event_queue, (self.now + delay, self.sequence, number, event))
 
     def dispatch(self, number: int, event: api.Event) -> None:
+        """Pass an event to a router now, and carry out its actions."""
         self.event_counts[event_kind(event)] += 1
         for action in self.routers[number].handle(self.now, event):
             if isinstance(action, api.Send):
@@ -205,7 +212,7 @@
                 )
 
     def broadcast(self, number: int, content: bytes) -> None:
-        """Count a message, and bring it to the listeners."""
+        """Count a peer message, and queue it for the listeners."""
         second = int(self.now)
         self.messages.append(content)
         self.messages_out[number, second] += 1
@@ -219,6 +226,7 @@
                 self.schedule(MESSAGE_DELAY_S, other, api.PeerMessage(content))
 
     def send(self, number: int, action: api.Send) -> None:
+        """Carry out an attempt: queue its outcome."""
         self.sent[action.server].append((self.now, self.request_keys.get(action.request, "")))
         attempt, status, delay = (
             self.attempt_counts[action.request],
@@ -228,7 +236,7 @@
         if action.server in self.hung_servers:
             status = api.Status.TIMEOUT
         elif action.server in self.lost_servers:
-            # a kept connection is silent and given up; from then on each attempt dials in vain
+            # the kept connection gets no answer and is closed; from then on each attempt fails to connect
             first = (number, action.server) not in self.dropped_connections
             self.dropped_connections.add((number, action.server))
             status = api.Status.TIMEOUT if first else api.Status.CONNECT_FAILED
@@ -242,30 +250,36 @@
         outcome = api.Outcome(action.request, attempt, status, status is api.Status.OK, delay)
         self.schedule(delay, number, outcome)
 
-    def finish(self, name: str, how: str) -> None:
-        if self.request_keys.pop(name, None) is not None:
-            self.request_deadlines.pop(name, None)
+    def finish(self, request: str, how: str) -> None:
+        """Count the end of a request, `served` or `failed`, unless it has ended already."""
+        if self.request_keys.pop(request, None) is not None:
+            self.request_deadlines.pop(request, None)
             self.finished[how] += 1
 
-    def run(self, seconds: float, rate: float, weights: list[float], uneven: float = 3.0) -> None:
-        """Requests of all clients, `rate` a second in all; some routers get `uneven` times as many."""
+    def run(self, seconds: float, rate: float, weights: list[float], busy_factor: float = 3.0) -> None:
+        """Simulate some seconds, with `rate` requests per second in total for keys of these weights.
+
+        Unless `router_weights` is set, every eighth router gets `busy_factor` times as many as the others.
+        """
         until = self.now + seconds
-        busy = self.router_weights or [1.0 if n % 8 else uneven for n in range(len(self.routers))]
-        # sums once, not for each request: with thousands of keys they cost more than the routers
-        up_to, shares = list(accumulate(busy)), list(accumulate(weights))
-        numbers = range(len(busy))
-        names = [f"k{i}" for i in range(len(weights))]
-        at = self.now + self.random.expovariate(rate)
+        router_weights = self.router_weights or [
+            1.0 if n % 8 else busy_factor for n in range(len(self.routers))
+        ]
+        # summed once and not per request: with thousands of keys that would cost more than the routers do
+        cumulative_routers, cumulative_keys = list(accumulate(router_weights)), list(accumulate(weights))
+        numbers = range(len(router_weights))
+        keys = [f"k{i}" for i in range(len(weights))]
+        arrival = self.now + self.random.expovariate(rate)
         while True:
-            if self.event_queue and self.event_queue[0][0] <= min(at, until):
+            if self.event_queue and self.event_queue[0][0] <= min(arrival, until):
                 self.now, _, number, event = heapq.heappop(self.event_queue)
                 if isinstance(event, api.Outcome) and event.closed:
                     self.finish(event.request, "served")
                 self.dispatch(number, event)
-            elif at <= until:
-                self.now, self.sequence = at, self.sequence + 1
-                number = self.random.choices(numbers, cum_weights=up_to)[0]
-                key = self.random.choices(names, cum_weights=shares)[0]
+            elif arrival <= until:
+                self.now, self.sequence = arrival, self.sequence + 1
+                number = self.random.choices(numbers, cum_weights=cumulative_routers)[0]
+                key = self.random.choices(keys, cum_weights=cumulative_keys)[0]
                 write = self.write_share > 0 and self.random.random() < self.write_share
                 name = f"r{self.sequence}"
                 if number not in self.lost_routers:
@@ -273,20 +287,20 @@
                     self.request_deadlines[name] = self.now + REQUEST_TIMEOUT_S
                     kind = "book" if write else "read"
                     self.dispatch(number, api.Request(name, kind, REQUEST_TIMEOUT_S, key, write=write))
-                at = self.now + self.random.expovariate(rate)
+                arrival = self.now + self.random.expovariate(rate)
             else:
                 break
         self.now = until
 
     def max_sent_within(self, server: str, window: float) -> int:
-        """The most that all routers sent to a server within any window."""
+        """Return the most attempts that all routers made at a server in any window of so many seconds."""
         times = [t for t, _ in self.sent[server]]
         return max((bisect_left(times, t + window) - i for i, t in enumerate(times)), default=0)
 
     def fleet_traffic(self, seconds: Collection[int]) -> list[tuple[float, float]]:
-        """Messages and bytes that the whole fleet told in each of some seconds of the clock.
+        """Return the peer messages and bytes that the whole fleet sent in each of some seconds of the clock.
 
-        Each router of the fleet hears as much, but for its own part.
+        Each router of the fleet receives as much, but for what it sent itself.
         """
         messages, size = Counter[int](), Counter[int]()
         for (_, second), count in self.messages_out.items():
@@ -298,4 +312,4 @@
         ]
 
 
-__all__ = ["LATENCY_S", "FleetModel", "event_kind", "shared_virtual_nodes", "shared_rings", "zipf_weights"]
+__all__ = ["LATENCY_S", "FleetModel", "event_kind", "shared_rings", "shared_virtual_nodes", "zipf_weights"]
