--- a/fleetlab/hollow.py
+++ b/fleetlab/hollow.py
@@ -36,7 +36,7 @@
 from brackenwalk.policy import Router
 from brackenwalk.settings import read_settings
 from fleetlab.model import event_kind, shared_rings, zipf_weights
-from fleetlab.module_costs import CONTROL, state_size, tell_at
+from fleetlab.module_costs import CONTROL_KINDS, next_peer_update, state_size
 from fleetlab.plan import Plan, router_config
 from fleetlab.results import Metric, Role
 
@@ -132,10 +132,10 @@
         self.meter = meter
 
     def handle(self, now: float, event: api.Event) -> list[api.Action]:
-        due = tell_at(self)
+        due = next_peer_update(self)
         began = time.thread_time_ns()
         actions = super().handle(now, event)
-        self.meter.add(event_kind(event) if tell_at(self) == due else "tell", began)
+        self.meter.add(event_kind(event) if next_peer_update(self) == due else "tell", began)
         return actions
 
 
@@ -418,7 +418,7 @@
         metrics[f"rate.{kind}"] = spread([m.events[kind] / seconds for m in meters], "1/s")
     plain = metrics["cpu.us.request"].value * 1000 if "cpu.us.request" in metrics else 0.0
     control = [
-        sum(m.spent[k] for k in (*CONTROL, "list")) - m.events["tell"] * plain for m in meters
+        sum(m.spent[k] for k in (*CONTROL_KINDS, "list")) - m.events["tell"] * plain for m in meters
     ]  # a request that tells is a request as well
     metrics["cpu.control"] = spread([max(0.0, c) / 1e9 / seconds for c in control], "core")
     metrics["cpu.share"] = spread([m.spent.total() / 1e9 / seconds for m in meters], "core")
--- a/fleetlab/module_costs.py
+++ b/fleetlab/module_costs.py
@@ -1,7 +1,8 @@
-"""What one instance of the module costs at an experiment's size: no sockets, a simulated clock, one process.
+"""Measures what one instance of the decision module costs at an experiment's size.
 
-Processor time is taken round `Router.handle` alone, of an instance that shares nothing with another. How
-many messages a fleet of that size makes is taken from a model of a part of it.
+It runs in one process on a simulated clock, without sockets. Processor time is taken around `Router.handle`
+alone, of an instance that shares nothing with others. The rate of peer messages in a fleet of that size comes
+from a simulation of a part of the fleet.
 """
 
 from __future__ import annotations
@@ -25,26 +26,28 @@
 from fleetlab.plan import Addresses, Plan, initial_server_list, router_settings
 from fleetlab.results import Metric, Role
 
-PLAYED = 30  # routers of the model at most; each stands for several in a larger fleet
-WARM = 2  # seconds until counts are taken: the memory of what is asked for has filled by then
-QUIET, STORM, TIMED = 12, 6, 5  # seconds of each part; quiet routers of a large fleet tell little
-LISTS = 3  # first lists, each to a new instance
-CHANGES = 8  # servers that drain, go, and come back new
-CONTROL = ("change", "call", "peer", "timer", "tell")  # and what a list takes, of which there are few
+MAX_SIMULATED_ROUTERS = 30  # in a larger fleet each stands for several
+WARM_UP_S = 2  # before counting begins: by then the record of requested keys has filled
+# length of each measurement; steady is longer, as routers of a large fleet rarely send then
+STEADY_S, STORM_S, TIMED_S = 12, 6, 5
+FIRST_LISTS = 3  # each to a new instance
+CHANGED_SERVERS = 8  # that drain, end, and are replaced
+CONTROL_KINDS = ("change", "call", "peer", "timer", "tell")  # full lists count as well, but are rare
 ORIGIN = "s-origin"
 
 
-def tell_at(router: Router) -> float:
-    """When a router shares out demand and tells its peers next; with a request, from then on."""
+def next_peer_update(router: Router) -> float:
+    """Return when a router next redistributes demand and sends to peers, at the first request from then."""
     holder: Any = getattr(router, "telling", router)
     return float(holder.tell_at)
 
 
-class Timed(Router):
-    """A router that keeps the processor seconds for each event, by kind.
+class TimedRouter(Router):
+    """A router that records the processor time of each event in seconds, by kind.
 
-    `tell` are requests at which it also shares out demand and may tell peers. The thread's own time is taken,
-    as on a busy machine a clock on the wall counts other processes as well; reading it takes some 1 us.
+    Kind `tell` is a request at which the router also redistributes demand and may send to peers. The time is
+    the thread's own, as wall-clock time on a busy machine includes other processes; reading it takes about
+    1 us.
     """
 
     def __init__(self, settings: api.Settings, seed: int, now: float) -> None:
@@ -52,43 +55,44 @@
         self.spent: defaultdict[str, list[float]] = defaultdict(list)
 
     def handle(self, now: float, event: api.Event) -> list[api.Action]:
-        """As the module's; the thread's time is read right before and after."""
-        due = tell_at(self)
+        """Handle an event as `Router` does, and record the time it takes."""
+        due = next_peer_update(self)
         began = time.thread_time_ns()
         actions = super().handle(now, event)
         spent = (time.thread_time_ns() - began) / 1e9
-        self.spent[event_kind(event) if tell_at(self) == due else "tell"].append(spent)
+        self.spent[event_kind(event) if next_peer_update(self) == due else "tell"].append(spent)
         return actions
 
 
-class TimedFleet(FleetModel):
-    """Its routers keep their times."""
+class TimedFleetModel(FleetModel):
+    """A fleet model of timed routers."""
 
     def make_router(self, number: int) -> Router:
-        return Timed(replace(self.settings, number=number), self.random.getrandbits(64), self.now)
+        """Create a timed router."""
+        return TimedRouter(replace(self.settings, number=number), self.random.getrandbits(64), self.now)
 
 
-def told(experiment: Experiment) -> tuple[api.Settings, list[api.ServerEntry]]:
-    """A router's settings and first list, in the module's terms, read as a router reads them."""
+def settings_and_servers(experiment: Experiment) -> tuple[api.Settings, list[api.ServerEntry]]:
+    """Return a router's settings and first server list, parsed as a real router parses them."""
     plan = Plan("hollow", experiment, Addresses(1, 1024), 0)
     members = read_list(initial_server_list(plan))[2]
     return read_settings(router_settings(experiment, 0)), [m.entry for m in members]
 
 
-def answers(experiment: Experiment, seed: int) -> Callable[[str], api.Status]:
-    """What cache servers and the origin answer: hits and misses by their share."""
-    chance = random.Random(seed)
+def random_answers(experiment: Experiment, seed: int) -> Callable[[str], api.Status]:
+    """Return a function that draws the outcome of an attempt: hits and misses by the experiment's shares."""
+    rng = random.Random(seed)
     hits = experiment.requests.hits
 
     def answer(server: str) -> api.Status:
-        return api.Status.OK if server == ORIGIN or chance.random() < hits else api.Status.MISS
+        return api.Status.OK if server == ORIGIN or rng.random() < hits else api.Status.MISS
 
     return answer
 
 
-def asked(fleet: FleetModel, experiment: Experiment, seed: int) -> list[float]:
-    """Set up what clients and servers of a model do; returns the weights of the keys."""
-    fleet.answer_status = answers(experiment, seed)
+def configure_model(fleet: FleetModel, experiment: Experiment, seed: int) -> list[float]:
+    """Set a model's clients and servers to the experiment's values; returns the weights of the keys."""
+    fleet.answer_status = random_answers(experiment, seed)
     fleet.latency = experiment.requests.latency_ms / 1000
     fleet.write_share = experiment.requests.writes
     fleet.router_weights = [1.0] * len(fleet.routers)
@@ -96,76 +100,76 @@
 
 
 def state_size(router: Router) -> int:
-    """Bytes of all objects that a router holds, each once; classes, functions and modules are not its own."""
+    """Return the bytes of all objects reachable from a router, without classes, functions and modules."""
     seen: set[int] = set()
     todo: list[Any] = [router]
     size = 0
     while todo:
-        thing = todo.pop()
-        if id(thing) in seen or isinstance(thing, (type, FunctionType, ModuleType)):
+        item = todo.pop()
+        if id(item) in seen or isinstance(item, (type, FunctionType, ModuleType)):
             continue
-        seen.add(id(thing))
-        size += sys.getsizeof(thing)
-        todo += gc.get_referents(thing)
+        seen.add(id(item))
+        size += sys.getsizeof(item)
+        todo += gc.get_referents(item)
     return size
 
 
-def played(
+def simulate_peer_traffic(
     experiment: Experiment, seed: int
 ) -> tuple[list[tuple[float, float]], list[tuple[float, float]], dict[str, list[bytes]]]:
-    """Play a part of the fleet at the full rate, quiet and in a storm: a zone's servers and routers lost.
+    """Simulate a part of the fleet at the full rate: steady, then after the loss of a zone (the storm).
 
-    Returns messages and bytes that a router hears in each quiet second and in each second of the storm, and
-    the messages told in both. Virtual nodes are shared here, where no time is taken.
+    Returns the peer messages and bytes that a router receives in each steady second and in each second of the
+    storm, and the contents of the messages of both. Virtual nodes are cached, as no time is measured here.
     """
-    conf, entries = told(experiment)
+    settings, entries = settings_and_servers(experiment)
     size, zones = experiment.fleet.real + experiment.fleet.hollow, experiment.fleet.zones
-    count = min(PLAYED, size)
+    count = min(MAX_SIMULATED_ROUTERS, size)
     with shared_virtual_nodes():
-        fleet = FleetModel(conf, count, entries, seed, siblings=size, run_timers=True)
-    weights = asked(fleet, experiment, seed)
+        fleet = FleetModel(settings, count, entries, seed, siblings=size, run_timers=True)
+    weights = configure_model(fleet, experiment, seed)
     rate = count * experiment.requests.full_rate
-    fleet.run(WARM, rate, weights)
+    fleet.run(WARM_UP_S, rate, weights)
     fleet.messages.clear()
     begin = int(fleet.now)
-    fleet.run(QUIET, rate, weights)
-    quiet = fleet.fleet_traffic(range(begin, begin + QUIET))
-    contents = {"quiet": list(fleet.messages)}
+    fleet.run(STEADY_S, rate, weights)
+    steady = fleet.fleet_traffic(range(begin, begin + STEADY_S))
+    contents = {"steady": list(fleet.messages)}
     fleet.messages.clear()
     begin = int(fleet.now)
     if zones > 1:
         fleet.fail(e.server for e in entries if e.zone == "zone-1" and e.server != ORIGIN)
-    fleet.run(STORM, rate, weights)
-    left = 1 - len(range(1, size, zones)) / size  # the zone's routers are silent as well
-    storm = [(m * left, b * left) for m, b in fleet.fleet_traffic(range(begin, begin + STORM))]
-    return quiet, storm, contents | {"storm": list(fleet.messages)}
+    fleet.run(STORM_S, rate, weights)
+    remaining = 1 - len(range(1, size, zones)) / size  # the lost zone's routers send nothing
+    storm = [(m * remaining, b * remaining) for m, b in fleet.fleet_traffic(range(begin, begin + STORM_S))]
+    return steady, storm, contents | {"storm": list(fleet.messages)}
 
 
-def lists_and_changes(
-    conf: api.Settings, entries: list[api.ServerEntry], seed: int
+def time_lists_and_changes(
+    settings: api.Settings, entries: list[api.ServerEntry], seed: int
 ) -> dict[str, list[float]]:
-    """Seconds for each first list, the same list again, no news, and each change of one server."""
+    """Time first lists, the same list again, a watch without changes, and changes of one server (seconds)."""
     spent: defaultdict[str, list[float]] = defaultdict(list)
-    whole = tuple(entries)
-    for i in range(LISTS):
-        router = Timed(conf, seed + i, 100.0)
-        router.handle(100.0, api.ServerList(api.ListKind.SAVED, whole))
+    full_list = tuple(entries)
+    for i in range(FIRST_LISTS):
+        router = TimedRouter(settings, seed + i, 100.0)
+        router.handle(100.0, api.ServerList(api.ListKind.SAVED, full_list))
         spent["list"] += router.spent["list"]
     router.spent.clear()
-    for _ in range(LISTS):
-        router.handle(100.0, api.ServerList(api.ListKind.FULL, whole))
+    for _ in range(FIRST_LISTS):
+        router.handle(100.0, api.ServerList(api.ListKind.FULL, full_list))
         router.handle(100.0, api.ServerList(api.ListKind.DELTA))
     spent["list.again"], spent["call"] = list(router.spent["list"]), list(router.spent["call"])
     caches = [e for e in entries if e.server != ORIGIN]
     now = 100.0
-    for entry in caches[:: max(1, len(caches) // CHANGES)][:CHANGES]:
+    for entry in caches[:: max(1, len(caches) // CHANGED_SERVERS)][:CHANGED_SERVERS]:
         now += 1.0
-        new = replace(entry, server=entry.server + "n", since=now)
+        replacement = replace(entry, server=entry.server + "n", since=now)
         for changed in (
             replace(entry, state=api.State.DRAINING),
             replace(entry, state=api.State.GONE),
-            new,
-            replace(new, weight=entry.weight * 0.9),
+            replacement,
+            replace(replacement, weight=entry.weight * 0.9),
         ):
             what = "weight" if changed.weight != entry.weight else changed.state.value
             router.spent.clear()
@@ -175,8 +179,8 @@
     return dict(spent)
 
 
-def full_load(
-    conf: api.Settings,
+def time_full_load(
+    settings: api.Settings,
     entries: list[api.ServerEntry],
     experiment: Experiment,
     *,
@@ -184,36 +188,36 @@
     contents: list[bytes],
     rate: float,
 ) -> tuple[dict[str, list[float]], Router, int]:
-    """One instance at the full rate that hears `rate` messages a second, of those in `contents`.
+    """Time one instance at the full rate that receives `rate` peer messages per second, out of `contents`.
 
-    Returns the seconds for each event by kind, the instance, and how many messages it told.
+    Returns the seconds of each event by kind, the instance, and how many peer messages it sent.
     """
-    size = conf.siblings
-    fleet = TimedFleet(conf, 1, entries, seed, siblings=size, run_timers=True)
-    weights = asked(fleet, experiment, seed)
-    until, chance, at = WARM + TIMED, random.Random(seed), 0.0
-    while contents and rate > 0 and (at := at + chance.expovariate(rate)) < until:
-        fleet.schedule(at, 0, api.PeerMessage(chance.choice(contents)))
+    size = settings.siblings
+    fleet = TimedFleetModel(settings, 1, entries, seed, siblings=size, run_timers=True)
+    weights = configure_model(fleet, experiment, seed)
+    until, rng, at = WARM_UP_S + TIMED_S, random.Random(seed), 0.0
+    while contents and rate > 0 and (at := at + rng.expovariate(rate)) < until:
+        fleet.schedule(at, 0, api.PeerMessage(rng.choice(contents)))
     router = fleet.routers[0]
-    assert isinstance(router, Timed)
-    fleet.run(WARM, experiment.requests.full_rate, weights)
+    assert isinstance(router, TimedRouter)
+    fleet.run(WARM_UP_S, experiment.requests.full_rate, weights)
     router.spent.clear()
     fleet.messages.clear()
-    fleet.run(TIMED, experiment.requests.full_rate, weights)
+    fleet.run(TIMED_S, experiment.requests.full_rate, weights)
     return dict(router.spent), router, len(fleet.messages)
 
 
 def changes_per_second(experiment: Experiment) -> float:
-    """Changes of single servers that the experiment's faults make, spread over its time.
+    """Return the rate of changes of single servers by the experiment's faults, averaged over the schedule.
 
-    A server replaced is four: it drains, is gone, the new one is there, and has started.
+    A replaced server makes four: it drains, it is gone, its replacement is listed, and has started.
     """
-    each = {"servers_change": 4, "servers_lost": 2, "changes": 1}
-    return sum(each.get(f.kind, 0) * f.count for f in experiment.faults) / experiment.seconds
+    changes_each = {"servers_change": 4, "servers_lost": 2, "changes": 1}
+    return sum(changes_each.get(f.kind, 0) * f.count for f in experiment.faults) / experiment.seconds
 
 
-def metric(samples: list[float], unit: str, scale: float = 1.0) -> Metric:
-    """The mean of samples and their range."""
+def mean_and_range(samples: list[float], unit: str, scale: float = 1.0) -> Metric:
+    """Return the mean of scaled samples and their range."""
     scaled = [s * scale for s in samples]
     if not scaled:
         return Metric(0.0, unit)
@@ -221,41 +225,49 @@
 
 
 def measure(experiment: Experiment, seed: int) -> dict[str, Role]:
-    """Measure one instance at the experiment's size; under the role `module`.
+    """Measure one instance at the experiment's size, as the role `module`.
 
-    `cpu.us.tell` is the whole of a request at which demand is shared out; `rate.told` are messages told. The
-    prefix `storm.` is for a zone lost: the second of it in which most is heard.
+    `cpu.us.tell` is the whole cost of a request at which demand is redistributed; `rate.told` is the rate of
+    peer messages sent. The prefix `storm.` stands for the loss of a zone: the second of it in which most peer
+    messages arrive.
     """
-    conf, entries = told(experiment)
-    conf = replace(conf, number=0)
-    quiet, storm, contents = played(experiment, seed)
-    heard = sum(m for m, _ in quiet) / len(quiet)
-    spent: dict[str, list[float]] = lists_and_changes(conf, entries, seed)
-    loaded, router, own = full_load(
-        conf, entries, experiment, seed=seed, contents=contents["quiet"], rate=heard
+    settings, entries = settings_and_servers(experiment)
+    settings = replace(settings, number=0)
+    steady, storm, contents = simulate_peer_traffic(experiment, seed)
+    peer_rate = sum(m for m, _ in steady) / len(steady)
+    spent: dict[str, list[float]] = time_lists_and_changes(settings, entries, seed)
+    loaded, router, sent = time_full_load(
+        settings, entries, experiment, seed=seed, contents=contents["steady"], rate=peer_rate
     )
     spent |= loaded
-    metrics = {f"cpu.us.{kind}": metric(samples, "us", 1e6) for kind, samples in sorted(spent.items())}
-    rates = {kind: len(loaded.get(kind, ())) / TIMED for kind in ("request", "outcome", "timer", "tell")}
-    # a watch with no news is answered when its wait is over
-    rates |= {"peer": heard, "change": changes_per_second(experiment), "call": 1 / WATCH_WAIT}
-    worst = max(m for m, _ in storm)
+    metrics = {
+        f"cpu.us.{kind}": mean_and_range(samples, "us", 1e6) for kind, samples in sorted(spent.items())
+    }
+    rates = {kind: len(loaded.get(kind, ())) / TIMED_S for kind in ("request", "outcome", "timer", "tell")}
+    # a watch without changes is answered when its wait is over
+    rates |= {"peer": peer_rate, "change": changes_per_second(experiment), "call": 1 / WATCH_WAIT}
+    peak = max(m for m, _ in storm)
     metrics |= {f"rate.{kind}": Metric(rate, "1/s") for kind, rate in rates.items()}
-    metrics["rate.told"] = Metric(own / TIMED, "1/s")
-    metrics["rate.peer"] = metric([m for m, _ in quiet], "1/s")
-    metrics["bytes.in.peers"] = metric([b for _, b in quiet], "B/s")
-    metrics["storm.rate.peer"] = Metric(worst, "1/s")
+    metrics["rate.told"] = Metric(sent / TIMED_S, "1/s")
+    metrics["rate.peer"] = mean_and_range([m for m, _ in steady], "1/s")
+    metrics["bytes.in.peers"] = mean_and_range([b for _, b in steady], "B/s")
+    metrics["storm.rate.peer"] = Metric(peak, "1/s")
     metrics["storm.bytes.in.peers"] = Metric(max(b for _, b in storm), "B/s")
-    cost = {kind: metrics[f"cpu.us.{kind}"].value if f"cpu.us.{kind}" in metrics else 0.0 for kind in CONTROL}
-    plain = metrics["cpu.us.request"].value
-    cost["tell"] = max(0.0, cost["tell"] - plain)  # what it takes more than any request
-    control = sum(rates[kind] * cost[kind] for kind in CONTROL) / 1e6
-    stormy, *_ = full_load(conf, entries, experiment, seed=seed, contents=contents["storm"], rate=worst)
-    metrics["storm.cpu.us.peer"] = metric(stormy.get("peer", []), "us", 1e6)
+    cost = {
+        kind: metrics[f"cpu.us.{kind}"].value if f"cpu.us.{kind}" in metrics else 0.0
+        for kind in CONTROL_KINDS
+    }
+    request_cost = metrics["cpu.us.request"].value
+    cost["tell"] = max(0.0, cost["tell"] - request_cost)  # what it costs beyond a plain request
+    control = sum(rates[kind] * cost[kind] for kind in CONTROL_KINDS) / 1e6
+    in_storm, *_ = time_full_load(
+        settings, entries, experiment, seed=seed, contents=contents["storm"], rate=peak
+    )
+    metrics["storm.cpu.us.peer"] = mean_and_range(in_storm.get("peer", []), "us", 1e6)
     metrics["cpu.control"] = Metric(control, "core")
-    more = worst * metrics["storm.cpu.us.peer"].value - heard * cost["peer"]
-    metrics["storm.cpu.control"] = Metric(control + more / 1e6, "core")
-    metrics["cpu.share"] = Metric(sum(sum(v) for v in loaded.values()) / TIMED, "core")
+    extra = peak * metrics["storm.cpu.us.peer"].value - peer_rate * cost["peer"]
+    metrics["storm.cpu.control"] = Metric(control + extra / 1e6, "core")
+    metrics["cpu.share"] = Metric(sum(sum(v) for v in loaded.values()) / TIMED_S, "core")
     metrics["state.mb"] = Metric(state_size(router) / 2**20, "MB")
     seconds = {"storm.rate.peer": [m for m, _ in storm], "storm.bytes.in.peers": [b for _, b in storm]}
     return {"module": Role(1, metrics, seconds)}
--- a/tests/test_lab_hollow.py
+++ b/tests/test_lab_hollow.py
@@ -118,7 +118,7 @@
 
 
 def test_costs_of_one_instance_at_a_tiny_size(monkeypatch: pytest.MonkeyPatch) -> None:
-    for name in ("WARM", "QUIET", "TIMED"):
+    for name in ("WARM_UP_S", "STEADY_S", "TIMED_S"):
         monkeypatch.setattr(module_costs, name, 1)
     experiment = lab.Experiment(
         name="tiny",
@@ -137,7 +137,7 @@
     assert metrics["rate.peer"].value > 0 and metrics["storm.rate.peer"].value > 0
     assert metrics["bytes.in.peers"].value <= 256 * metrics["rate.peer"].value
     assert 0.01 < metrics["state.mb"].value < 5
-    assert len(roles["module"].seconds["storm.rate.peer"]) == module_costs.STORM
+    assert len(roles["module"].seconds["storm.rate.peer"]) == module_costs.STORM_S
 
 
 # Hollow routers
