--- a/fleetlab/hollow.py
+++ b/fleetlab/hollow.py
@@ -1,9 +1,9 @@
-"""Hollow routers: the module behind the real host, discovery and peers, with clients and servers by a model.
+"""Hollow routers: the decision module with the real host, discovery and peers, but no clients and servers.
 
-Many share a process. Each has its own address, watches discovery and hears and tells peers over real sockets;
-requests and what becomes of attempts are drawn. Instances share virtual nodes and the order of the ring
-(`model.shared_rings`), or hundreds would not start in time: first lists and changes cost less here than at a
-router on its own.
+Many share a process. Each has an address of its own, watches discovery, and exchanges peer messages over real
+sockets; requests and the outcomes of attempts are random. Instances share virtual nodes and the order
+of the ring (`model.shared_rings`), as hundreds would not start in time otherwise. First lists and changes
+therefore cost less here than at a router in a process of its own.
 """
 
 from __future__ import annotations
@@ -40,98 +40,111 @@
 from fleetlab.plan import Plan, router_config
 from fleetlab.results import Metric, Role
 
-TIME_LEFT = 1.0  # of the shortest aim, that a client gives a request
+REQUEST_TIMEOUT_FACTOR = 1.0  # of the shortest aim: after that clients give up
 VALUE = b"v" * 64
-BEAT = 0.1  # seconds between two looks at how late the loop is
-SIZED = 3  # instances whose state is walked at the end, which takes a second each
+LAG_INTERVAL_S = 0.1  # between samples of the event loop's lag
+MAX_SIZED_INSTANCES = 3  # whose state is measured at the end, which takes a second each
 log = structlog.get_logger(__name__)
 
 
 class Life(Protocol):
-    """What becomes of a server; times are seconds from the start of the schedule."""
+    """The state of a server over time, in seconds from the start of the schedule."""
 
-    def up(self, at: float) -> bool: ...
+    def up(self, at: float) -> bool:
+        """Return whether the server runs."""
+        ...
 
-    def hanging(self, at: float) -> bool: ...
+    def hanging(self, at: float) -> bool:
+        """Return whether it runs but does not respond."""
+        ...
 
-    def started(self, at: float) -> float | None: ...
+    def started(self, at: float) -> float | None:
+        """Return when it started, or None if that was before the schedule."""
+        ...
 
 
 class Absence(Protocol):
-    """A router is gone from `start` to `end`."""
+    """A time in which a router is down, in seconds from the start of the schedule."""
 
     @property
-    def router(self) -> int: ...
+    def router(self) -> int:
+        """The router's number."""
+        ...
 
     @property
-    def start(self) -> float: ...
+    def start(self) -> float:
+        """When the router goes down."""
+        ...
 
     @property
-    def end(self) -> float: ...
+    def end(self) -> float:
+        """When the router starts again."""
+        ...
 
 
 class Schedule:
-    """What happens to servers and routers, and who reaches whom."""
+    """The faults of servers, routers and the links between zones."""
 
     def __init__(
         self,
         lives: dict[int, Life] | None = None,
         absences: list[Absence] | None = None,
-        cut: Callable[[int, int, float], bool] = lambda one, other, at: False,
+        partitioned: Callable[[int, int, float], bool] = lambda zone, other, at: False,
     ) -> None:
         self.lives = lives or {}
         self.absences = absences or []
-        self.cut = cut
+        self.partitioned = partitioned
 
-    def state(self, server: int, router_zone: int, server_zone: int, at: float) -> str:
-        """`up`, `hang` or `lost`, as a router of a zone sees a server."""
+    def server_state(self, server: int, router_zone: int, server_zone: int, at: float) -> str:
+        """Return `up`, `hang` or `lost`: the state of a server as seen from a router's zone."""
         life = self.lives.get(server)
-        if self.cut(router_zone, server_zone, at) or (life is not None and not life.up(at)):
+        if self.partitioned(router_zone, server_zone, at) or (life is not None and not life.up(at)):
             return "lost"
         return "hang" if life is not None and life.hanging(at) else "up"
 
     def warmth(self, server: int, at: float, cold: float, ramp: float) -> float:
-        """Share of its usual hits that a server has, for its age."""
+        """Return the share of its usual hits that a server has at its age: from `cold` to 1 over `ramp`."""
         life = self.lives.get(server)
-        began = life.started(at) if life is not None else None
-        return 1.0 if began is None else min(1.0, cold + (1 - cold) * (at - began) / max(ramp, 1e-3))
+        started = life.started(at) if life is not None else None
+        return 1.0 if started is None else min(1.0, cold + (1 - cold) * (at - started) / max(ramp, 1e-3))
 
 
-def schedule_of(plan: Plan) -> Schedule:
-    """The schedule that all parts share."""
+def shared_schedule(plan: Plan) -> Schedule:
+    """Return the schedule that all parts derive from the plan."""
     shared: Any = importlib.import_module("fleetlab.standins.schedule")
     cuts = shared.cuts(plan)
     return Schedule(
         shared.server_events(plan),
         shared.router_events(plan),
-        lambda one, other, at: bool(shared.cut_between(cuts, one, other, at)),
+        lambda zone, other, at: bool(shared.cut_between(cuts, zone, other, at)),
     )
 
 
 class Meter:
-    """What one instance took, for the whole schedule."""
+    """The resources that one instance used over the whole schedule."""
 
     def __init__(self) -> None:
-        self.spent: Counter[str] = Counter()  # nanoseconds by kind of event
+        self.cpu_ns: Counter[str] = Counter()  # by kind of event
         self.events: Counter[str] = Counter()
-        self.counts: Counter[str] = Counter()  # bytes, calls and ends of requests
-        self.heard: Counter[int] = Counter()  # messages of peers by the second
-        self.heard_bytes: Counter[int] = Counter()
+        self.counts: Counter[str] = Counter()  # bytes, calls, and requests by how they ended
+        self.messages_in: Counter[int] = Counter()  # from peers, by second
+        self.bytes_in: Counter[int] = Counter()
 
     def add(self, kind: str, began: int) -> None:
-        """Count an event whose work began at a time of the thread's clock."""
-        self.spent[kind] += time.thread_time_ns() - began
+        """Count an event whose handling began at `began`, in nanoseconds of the thread's processor time."""
+        self.cpu_ns[kind] += time.thread_time_ns() - began
         self.events[kind] += 1
 
 
-class Metered(Router):
-    """A router whose time is counted by kind of event."""
+class MeteredRouter(Router):
+    """A router whose processor time is counted by kind of event."""
 
     def __init__(self, settings: api.Settings, seed: int, now: float, meter: Meter) -> None:
         super().__init__(settings, seed, now)
         self.meter = meter
 
     def handle(self, now: float, event: api.Event) -> list[api.Action]:
+        """Handle an event as `Router` does, and count its processor time."""
         due = next_peer_update(self)
         began = time.thread_time_ns()
         actions = super().handle(now, event)
@@ -140,19 +153,20 @@
 
 
 class HollowHost(Host):
-    """A host that can be killed: timers that are still out then find it deaf."""
+    """A host that can be killed: timers that fire afterwards have no effect."""
 
     def __init__(self, settings: api.Settings, seed: int, pool: Pool, subscribe: Callable[[], None]) -> None:
         super().__init__(settings, seed, pool, pool, subscribe)
-        self.dead = False
+        self.killed = False
 
     def post(self, event: api.Event) -> None:
-        if not self.dead:
+        """Pass an event to the router, unless the host has been killed."""
+        if not self.killed:
             super().post(event)
 
     def kill(self) -> int:
-        """End at once; answers with how many requests it still owed an answer."""
-        self.dead = True
+        """Stop at once; returns the number of requests left without an answer."""
+        self.killed = True
         for taken in self.requests.values():
             for attempt in taken.attempts.values():
                 if attempt.exchange is not None:
@@ -160,27 +174,31 @@
         return sum(not taken.closed for taken in self.requests.values())
 
 
-class Modelled(Exchange):
-    """An attempt at a server that is none."""
+class ModelExchange(Exchange):
+    """An attempt at a modelled server."""
 
     timer: asyncio.TimerHandle | None = None
 
     def unsent(self) -> bool:
+        """Return False: every attempt counts as sent."""
         return False
 
     def abandon(self) -> None:
+        """Cancel the attempt."""
         self.open = False
         if self.timer is not None:
             self.timer.cancel()
 
 
 class ModelPool(Pool):
-    """Stands where connections to servers would: attempts end as drawn, after a drawn time."""
+    """Replaces the connections to servers: attempts end as drawn, after a drawn time."""
 
-    def __init__(self, instance: Hollow, dial_timeout: float) -> None:
+    def __init__(self, instance: HollowRouter, dial_timeout: float) -> None:
         super().__init__(OriginConnection, 0, dial_timeout, 0.0)  # never makes a connection
         self.instance = instance
-        self.silent: set[str] = set()  # addresses whose kept connection has been given up
+        self.dropped_connections: set[str] = (
+            set()
+        )  # addresses of lost servers whose kept connection was closed
 
     def start(
         self,
@@ -190,126 +208,136 @@
         done: Callable[[api.Status, bytes], None],
         look: Callable[[], object] = lambda: None,
     ) -> Exchange:
-        exchange = Modelled(command, time_left, done, look)
-        state = self.instance.state(address)
+        """Start an attempt, and schedule its outcome by the state of the server."""
+        exchange = ModelExchange(command, time_left, done, look)
+        state = self.instance.server_state(address)
         if state == "up":
-            self.silent.discard(address)
-            usual = self.instance.fleet.plan.experiment.requests.latency_ms / 1000
-            pause = usual * self.instance.random.uniform(0.5, 1.5)
-            exchange.timer = asyncio.get_running_loop().call_later(pause, self._answer, address, exchange)
-        elif state == "lost" and address in self.silent:
+            self.dropped_connections.discard(address)
+            typical = self.instance.process.plan.experiment.requests.latency_ms / 1000
+            latency = typical * self.instance.random.uniform(0.5, 1.5)
+            exchange.timer = asyncio.get_running_loop().call_later(latency, self._answer, address, exchange)
+        elif state == "lost" and address in self.dropped_connections:
             loop = asyncio.get_running_loop()
             exchange.timer = loop.call_later(
                 self.dial_timeout, exchange.finish, api.Status.CONNECT_FAILED
-            )  # the kept connection has been given up, and a new one never comes up
+            )  # the kept connection was closed, and no new one can be established
         elif state == "lost":
-            self.silent.add(address)
+            self.dropped_connections.add(address)
         return exchange
 
-    def _answer(self, address: str, exchange: Modelled) -> None:
-        if self.instance.state(address) != "up":
+    def _answer(self, address: str, exchange: ModelExchange) -> None:
+        if self.instance.server_state(address) != "up":
             return  # the host's own timer ends it
-        hit = exchange.command.write or self.instance.hit(address)
+        hit = exchange.command.write or self.instance.draw_hit(address)
         exchange.finish(*((api.Status.OK, VALUE) if hit else (api.Status.MISS, b"")))
 
     def close_idle(self, address: str) -> None:
-        """There are no connections."""
+        """Do nothing, as there are no connections."""
 
 
-class CountedClient(HttpClient):
-    """Counts the bytes of discovery's calls for the instance that asks at an address, which is its own."""
+class MeteredClient(HttpClient):
+    """Counts the calls to discovery and their bytes, by address: each instance calls one of its own."""
 
     meters: dict[str, Meter] = {}
-    marks: dict[str, int] = {}  # when the latest bytes came in, by the thread's clock
+    received_at: dict[str, int] = {}  # when the latest bytes arrived, in the thread's processor time (ns)
 
     def request(
         self, method: str, target: str, headers: list[tuple[bytes, bytes]], body: bytes | None = None
     ) -> bytes:
+        """Encode a request and count it."""
         data = super().request(method, target, headers, body)
         self.meters[self.address].counts["calls"] += 1
         self.meters[self.address].counts["bytes.out.discovery"] += len(data)
         return data
 
     def receive(self, data: bytes) -> Response | None:
-        self.marks[self.address] = time.thread_time_ns()
+        """Count received bytes and decode them."""
+        self.received_at[self.address] = time.thread_time_ns()
         self.meters[self.address].counts["bytes.in.discovery"] += len(data)
         return super().receive(data)
 
 
-class Process:
+class HollowProcess:
     """What the instances of one process share."""
 
     def __init__(self, plan: Plan, schedule: Schedule) -> None:
         self.plan = plan
         self.schedule = schedule
-        self.began = float("inf")  # Unix time
+        self.schedule_start = float("inf")  # Unix time
         experiment = plan.experiment
         self.zones = experiment.fleet.zones
-        self.shares = list(accumulate(zipf_weights(experiment.requests.keys, experiment.requests.zipf)))
+        self.cumulative_weights = list(
+            accumulate(zipf_weights(experiment.requests.keys, experiment.requests.zipf))
+        )
         addresses = plan.addresses
-        self.numbers: dict[str, int] = {}  # of servers, by address; those that come later are added
+        self.server_numbers: dict[str, int] = {}  # by address; those of replacements are added when needed
         self.peers = {address_of(addresses.peer_advertised(n)) for n in range(plan.router_count())}
         config = router_config(plan, 0)
-        self.index, _, self.known = read_list(config["known"])
+        self.index, _, self.members = read_list(config["known"])
         config["settings"]["me"] = 0
         self.settings = config["settings"]
 
-    def at(self) -> float:
-        """Seconds since the schedule began; below 0 before."""
-        return time.time() - self.began
+    def elapsed(self) -> float:
+        """Return the seconds since the schedule began; negative before."""
+        return time.time() - self.schedule_start
+
+    def server_number(self, address: str) -> int | None:
+        """Return the number of the server at an address; None for the origin.
 
-    def number_of(self, address: str) -> int | None:
-        """A server's number; None for the origin."""
+        Raises ValueError for an address that is neither.
+        """
         if address == self.plan.addresses.origin():
             return None
-        while address not in self.numbers:
-            count = len(self.numbers)
+        while address not in self.server_numbers:
+            count = len(self.server_numbers)
             if count > 2**16:
-                raise ValueError(f"{address} is no server's address")
-            self.numbers[self.plan.addresses.server(count)] = count
-        return self.numbers[address]
+                raise ValueError(f"{address} is not the address of a cache server")
+            self.server_numbers[self.plan.addresses.server(count)] = count
+        return self.server_numbers[address]
 
 
-class Hollow:
-    """One hollow router; begun anew after a fault, its meter goes on."""
+class HollowRouter:
+    """One hollow router. Its meter continues when it is restarted after a fault."""
 
-    def __init__(self, fleet: Process, number: int, rate: float) -> None:
-        self.fleet = fleet
+    def __init__(self, process: HollowProcess, number: int, rate: float) -> None:
+        self.process = process
         self.number = number
-        self.rate = rate
-        self.zone = number % fleet.zones
-        self.random = random.Random(f"{fleet.plan.seed} {number}")
+        self.rate = rate  # requests per second
+        self.zone = number % process.zones
+        self.random = random.Random(f"{process.plan.seed} {number}")
         self.meter = Meter()
-        self.asked = self.made = 0  # requests, and those of the schedule
+        self.request_number = self.generated = 0  # for request ids, and to compare with the planned rate
         self.host: HollowHost | None = None
         self.discovery: Discovery | None = None
         self.peers: Peers | None = None
-        self.next: asyncio.TimerHandle | None = None
-        self.address = fleet.plan.addresses.discovery(number)
-        CountedClient.meters[self.address] = self.meter
+        self.next_request: asyncio.TimerHandle | None = None
+        self.address = process.plan.addresses.discovery(number)
+        MeteredClient.meters[self.address] = self.meter
 
     async def start(self) -> None:
-        """Begin from nothing but the list of the configuration."""
-        fleet, addresses = self.fleet, self.fleet.plan.addresses
-        settings = read_settings(fleet.settings | {"me": self.number})
+        """Start without any state but the server list of the configuration."""
+        process, addresses = self.process, self.process.plan.addresses
+        settings = read_settings(process.settings | {"me": self.number})
         pool = ModelPool(self, settings.dial_timeout)
         seed = self.random.getrandbits(32)
         host = self.host = HollowHost(settings, seed, pool, self._subscribe)
-        host.router = Metered(settings, seed, host.clock.now(), self.meter)
-        told, failed = self._told, self._failed
-        self.discovery = Discovery(self.address, fleet.index, told, failed)
-        host.list_told(api.ListKind.SAVED, fleet.known)
+        host.router = MeteredRouter(settings, seed, host.clock.now(), self.meter)
+        told, failed = self._list_received, self._list_failed
+        self.discovery = Discovery(self.address, process.index, told, failed)
+        host.list_told(api.ListKind.SAVED, process.members)
         if not settings.subscribe:
-            self.discovery.subscribe()  # what is pushed comes by the same calls
+            self.discovery.subscribe()  # pushed lists arrive by the same calls
         peers = Peers(addresses.peer_listen(self.number), [], addresses.peers_all(), self._peer_heard)
-        peers.peers = fleet.peers  # one set for all: thousands of sets of thousands fill the memory
-        self.peers, host.tell = peers, self._tell
+        peers.peers = (
+            process.peers
+        )  # one set for all instances: a set of thousands for each would fill the memory
+        self.peers, host.tell = peers, self._tell_peers
         await peers.start()
 
     def stop(self) -> None:
-        """End at once, as if killed."""
-        if self.next is not None:
-            self.next.cancel()
+        """Stop at once, as if killed."""
+        if self.next_request is not None:
+            self.next_request.cancel()
         if self.discovery is not None:
             self.discovery.told = lambda kind, members: None
             self.discovery.failed = lambda: None
@@ -320,41 +348,43 @@
             self.meter.counts["unserved"] += self.host.kill()
         self.host = self.discovery = self.peers = None
 
-    def state(self, address: str) -> str:
-        """How the server at an address is seen from here now: `up`, `hang` or `lost`."""
-        server = self.fleet.number_of(address)
+    def server_state(self, address: str) -> str:
+        """Return the current state of the server at an address as seen from here: `up`, `hang` or `lost`."""
+        server = self.process.server_number(address)
         if server is None:
             return "up"
-        zones = self.fleet.zones
-        return self.fleet.schedule.state(server, self.zone, server % zones, self.fleet.at())
+        zones = self.process.zones
+        return self.process.schedule.server_state(server, self.zone, server % zones, self.process.elapsed())
 
-    def hit(self, address: str) -> bool:
-        """Whether a read finds its key, by the share of hits and the server's age."""
-        server, experiment = self.fleet.number_of(address), self.fleet.plan.experiment
+    def draw_hit(self, address: str) -> bool:
+        """Draw whether a read hits, by the share of hits and the server's age; always at the origin."""
+        server, experiment = self.process.server_number(address), self.process.plan.experiment
         if server is None:
             return True
-        warm = self.fleet.schedule.warmth(server, self.fleet.at(), experiment.cold_share, experiment.ramp)
-        return self.random.random() < experiment.requests.hits * warm
+        warmth = self.process.schedule.warmth(
+            server, self.process.elapsed(), experiment.cold_share, experiment.ramp
+        )
+        return self.random.random() < experiment.requests.hits * warmth
 
     # Requests
 
-    def ask(self) -> None:
-        """Take a drawn request, and set the time of the next."""
+    def generate_request(self) -> None:
+        """Submit a random request, and schedule the next."""
         loop = asyncio.get_running_loop()
         if self.rate > 0:
-            self.next = loop.call_later(self.random.expovariate(self.rate), self.ask)
+            self.next_request = loop.call_later(self.random.expovariate(self.rate), self.generate_request)
         if self.host is None:
             return
-        requests, shares = self.fleet.plan.experiment.requests, self.fleet.shares
-        key = b"k%d" % bisect_right(shares, self.random.random() * shares[-1])
+        requests, weights = self.process.plan.experiment.requests, self.process.cumulative_weights
+        key = b"k%d" % bisect_right(weights, self.random.random() * weights[-1])
         write = self.random.random() < requests.writes
-        deadline = int(1000 * TIME_LEFT * self.fleet.plan.experiment.shortest_aim)
-        self.asked += 1
-        self.made += 1
+        deadline = int(1000 * REQUEST_TIMEOUT_FACTOR * self.process.plan.experiment.shortest_aim)
+        self.request_number += 1
+        self.generated += 1
         command = Command(
             b"C.SET" if write else b"C.GET",
             key,
-            b"%d-%d" % (self.number, self.asked),
+            b"%d-%d" % (self.number, self.request_number),
             {"c": "book" if write else "read", "d": str(deadline)},
             deadline,
             VALUE if write else None,
@@ -370,108 +400,111 @@
         if self.discovery is not None:
             self.discovery.subscribe()
 
-    def _told(self, kind: api.ListKind, members: list[Member]) -> None:
-        began = CountedClient.marks.get(self.address)
-        if began is not None:
-            # reading the answer, without the dial; one with no news is counted where it is handled
-            self.meter.spent["call"] += time.thread_time_ns() - began
+    def _list_received(self, kind: api.ListKind, members: list[Member]) -> None:
+        received = MeteredClient.received_at.get(self.address)
+        if received is not None:
+            # parsing the response, without the dial; one without changes is counted when it is handled
+            self.meter.cpu_ns["call"] += time.thread_time_ns() - received
             self.meter.events["call"] += bool(members)
         if self.host is not None:
             self.host.list_told(kind, members)
 
-    def _failed(self) -> None:
+    def _list_failed(self) -> None:
         self.meter.counts["calls.failed"] += 1
         if self.host is not None:
             self.host.list_failed()
 
     def _peer_heard(self, content: bytes) -> None:
-        second = int(self.fleet.at()) if self.fleet.at() >= 0 else -1
-        self.meter.heard[second] += 1
-        self.meter.heard_bytes[second] += len(content)
+        second = int(self.process.elapsed()) if self.process.elapsed() >= 0 else -1
+        self.meter.messages_in[second] += 1
+        self.meter.bytes_in[second] += len(content)
         if self.host is not None:
             self.host.peer_heard(content)
 
-    def _tell(self, content: bytes) -> None:
+    def _tell_peers(self, content: bytes) -> None:
         self.meter.counts["told"] += 1
         self.meter.counts["bytes.out.peers"] += len(content)
         if self.peers is not None:
             self.peers.tell(content)
 
 
-def spread(values: list[float], unit: str) -> Metric:
-    """A figure of each instance: the mean and the range."""
+def mean_and_range(values: list[float], unit: str) -> Metric:
+    """Return the mean of the instances' values and their range."""
     if not values:
         return Metric(0.0, unit)
     return Metric(sum(values) / len(values), unit, min(values), max(values), len(values))
 
 
-def role_of(instances: list[Hollow], seconds: float, whole: int) -> Role:
-    """What a set of instances took in `seconds`; `whole` seconds of the schedule are told one by one."""
+def build_role(instances: list[HollowRouter], seconds: float, whole_seconds: int) -> Role:
+    """Return the metrics of some instances over `seconds`, and series of the first `whole_seconds`."""
     meters = [i.meter for i in instances]
     metrics: dict[str, Metric] = {}
     for kind in sorted({k for m in meters for k in m.events}):
-        spent, count = sum(m.spent[kind] for m in meters), sum(m.events[kind] for m in meters)
+        cpu_ns, count = sum(m.cpu_ns[kind] for m in meters), sum(m.events[kind] for m in meters)
         if not count:
             continue
-        each = [m.spent[kind] / m.events[kind] / 1000 for m in meters if m.events[kind]]
-        metrics[f"cpu.us.{kind}"] = Metric(spent / count / 1000, "us", min(each), max(each), count)
-        metrics[f"rate.{kind}"] = spread([m.events[kind] / seconds for m in meters], "1/s")
-    plain = metrics["cpu.us.request"].value * 1000 if "cpu.us.request" in metrics else 0.0
-    control = [
-        sum(m.spent[k] for k in (*CONTROL_KINDS, "list")) - m.events["tell"] * plain for m in meters
-    ]  # a request that tells is a request as well
-    metrics["cpu.control"] = spread([max(0.0, c) / 1e9 / seconds for c in control], "core")
-    metrics["cpu.share"] = spread([m.spent.total() / 1e9 / seconds for m in meters], "core")
+        each = [m.cpu_ns[kind] / m.events[kind] / 1000 for m in meters if m.events[kind]]
+        metrics[f"cpu.us.{kind}"] = Metric(cpu_ns / count / 1000, "us", min(each), max(each), count)
+        metrics[f"rate.{kind}"] = mean_and_range([m.events[kind] / seconds for m in meters], "1/s")
+    request_ns = metrics["cpu.us.request"].value * 1000 if "cpu.us.request" in metrics else 0.0
+    control_ns = [
+        sum(m.cpu_ns[k] for k in (*CONTROL_KINDS, "list")) - m.events["tell"] * request_ns for m in meters
+    ]  # each `tell` includes the handling of a request
+    metrics["cpu.control"] = mean_and_range([max(0.0, c) / 1e9 / seconds for c in control_ns], "core")
+    metrics["cpu.share"] = mean_and_range([m.cpu_ns.total() / 1e9 / seconds for m in meters], "core")
     for name in ("bytes.out.peers", "bytes.in.discovery", "bytes.out.discovery"):
-        metrics[name] = spread([m.counts[name] / seconds for m in meters], "B/s")
-    metrics["bytes.in.peers"] = spread([m.heard_bytes.total() / seconds for m in meters], "B/s")
-    metrics["rate.told"] = spread([m.counts["told"] / seconds for m in meters], "1/s")
-    metrics["calls"] = spread([m.counts["calls"] / seconds for m in meters], "1/s")
+        metrics[name] = mean_and_range([m.counts[name] / seconds for m in meters], "B/s")
+    metrics["bytes.in.peers"] = mean_and_range([m.bytes_in.total() / seconds for m in meters], "B/s")
+    metrics["rate.told"] = mean_and_range([m.counts["told"] / seconds for m in meters], "1/s")
+    metrics["calls"] = mean_and_range([m.counts["calls"] / seconds for m in meters], "1/s")
     metrics["calls.failed"] = Metric(float(sum(m.counts["calls.failed"] for m in meters)), "calls")
-    served, not_served = (sum(m.counts[name] for m in meters) for name in ("served", "unserved"))
-    if served + not_served:
-        metrics["served"] = Metric(served / (served + not_served), "share", count=served + not_served)
-        metrics["failed"] = Metric(not_served / (served + not_served), "share")
+    served, unserved = (sum(m.counts[name] for m in meters) for name in ("served", "unserved"))
+    if served + unserved:
+        metrics["served"] = Metric(served / (served + unserved), "share", count=served + unserved)
+        metrics["failed"] = Metric(unserved / (served + unserved), "share")
     count = max(1, len(meters))
-    lines = {
-        "rate.peer": [sum(m.heard[s] for m in meters) / count for s in range(whole)],
-        "bytes.in.peers": [sum(m.heard_bytes[s] for m in meters) / count for s in range(whole)],
+    series = {
+        "rate.peer": [sum(m.messages_in[s] for m in meters) / count for s in range(whole_seconds)],
+        "bytes.in.peers": [sum(m.bytes_in[s] for m in meters) / count for s in range(whole_seconds)],
     }
-    return Role(len(instances), metrics, lines)
+    return Role(len(instances), metrics, series)
 
 
-def results(
+def build_roles(
     plan: Plan,
-    instances: list[Hollow],
+    instances: list[HollowRouter],
     start: dict[str, float],
     *,
     seconds: float,
-    spent: float,
-    late: list[float],
+    cpu_seconds: float,
+    lags: list[float],
 ) -> dict[str, Role]:
-    """All roles of this process: `hollow`, `full` where there are any, and `lab` for the process itself.
+    """Return all roles of this process: `hollow`, `full` if there are any, and `lab` for the process itself.
 
-    `spent` are the processor seconds of the process in the schedule; `start` has figures of the start; `late`
-    is how late the loop was. Where `asked`, the share of the planned requests that were made, is well below
-    1 or the lag is not far below a second, the process was too full and its rates say nothing.
+    `cpu_seconds` is the processor time of the process during the schedule; `start` holds metrics of the start
+    phase; `lags` are samples of the event loop's lag. The process was overloaded, and its rates are
+    meaningless, where `asked`, the share of the planned requests that were generated, is well below 1, or the
+    lag is not far below a second.
     """
-    full = plan.experiment.requests.full_rate
-    asked: defaultdict[str, list[Hollow]] = defaultdict(list)
+    full_rate = plan.experiment.requests.full_rate
+    groups: defaultdict[str, list[HollowRouter]] = defaultdict(list)
     for instance in instances:
-        asked["full" if instance.rate == full and plan.experiment.fleet.full else "hollow"].append(instance)
-    whole = int(min(seconds, plan.experiment.seconds))
-    roles = {name: role_of(group, seconds, whole) for name, group in asked.items()}
+        groups["full" if instance.rate == full_rate and plan.experiment.fleet.full else "hollow"].append(
+            instance
+        )
+    whole_seconds = int(min(seconds, plan.experiment.seconds))
+    roles = {name: build_role(group, seconds, whole_seconds) for name, group in groups.items()}
     memory = psutil.Process().memory_info().rss / 2**20
-    for name, group in asked.items():
+    for name, group in groups.items():
         metrics = roles[name].metrics
         metrics["memory.mb"] = Metric(memory / len(instances), "MB", count=len(instances))
-        sizes = [state_size(i.host.router) / 2**20 for i in group[:SIZED] if i.host is not None]
-        metrics["state.mb"] = spread(sizes, "MB")
+        sizes = [state_size(i.host.router) / 2**20 for i in group[:MAX_SIZED_INSTANCES] if i.host is not None]
+        metrics["state.mb"] = mean_and_range(sizes, "MB")
         planned = seconds * sum(i.rate for i in group)
         if planned:
-            metrics["asked"] = Metric(sum(i.made for i in group) / planned, "share")
+            metrics["asked"] = Metric(sum(i.generated for i in group) / planned, "share")
         metrics |= {f"start.{what}": Metric(value, "s") for what, value in start.items()}
-    own = spent - sum(i.meter.spent.total() for i in instances) / 1e9
+    own = cpu_seconds - sum(i.meter.cpu_ns.total() for i in instances) / 1e9
     descriptors = float(psutil.Process().num_fds())
     roles["lab"] = Role(
         1,
@@ -479,115 +512,125 @@
             "cpu.share": Metric(max(0.0, own) / seconds, "core"),
             "memory.mb": Metric(memory, "MB"),
             "descriptors": Metric(descriptors, "descriptors"),
-            "lag": spread(late, "s"),
+            "lag": mean_and_range(lags, "s"),
         },
     )
     return roles
 
 
-async def watch_lag(late: list[float]) -> None:
-    """Note how much later than asked the loop comes round, in seconds: what it does not keep up with."""
+async def sample_lag(lags: list[float]) -> None:
+    """Append samples of the event loop's lag, in seconds: by how much timers fire too late."""
     while True:
-        due = time.monotonic() + BEAT
-        await asyncio.sleep(BEAT)
-        late.append(time.monotonic() - due)
+        due = time.monotonic() + LAG_INTERVAL_S
+        await asyncio.sleep(LAG_INTERVAL_S)
+        lags.append(time.monotonic() - due)
 
 
-def rates(plan: Plan) -> list[float]:
-    """Requests a second at each hollow router of this process: its part of the full ones comes first."""
+def request_rates(plan: Plan) -> list[float]:
+    """Return the requests per second at each hollow router of this process, full-rate routers first."""
     fleet, requests = plan.experiment.fleet, plan.experiment.requests
     processes = min(fleet.processes, fleet.hollow) or 1
-    place = (plan.hollow[0] - fleet.real) % processes if plan.hollow else 0  # dealt round, process by process
+    place = (
+        (plan.hollow[0] - fleet.real) % processes if plan.hollow else 0
+    )  # as routers are dealt round-robin
     full = len(range(place, fleet.full, processes))
     return [requests.full_rate if i < full else requests.hollow_rate for i in range(len(plan.hollow))]
 
 
-async def absent(instance: Hollow, absences: list[Absence]) -> None:
-    """Kill a router and begin it anew, each time that the schedule has it gone."""
+async def play_absences(instance: HollowRouter, absences: list[Absence]) -> None:
+    """Kill and restart a router at the times of its absences."""
     for absence in absences:
-        await asyncio.sleep(max(0.0, absence.start - instance.fleet.at()))
+        await asyncio.sleep(max(0.0, absence.start - instance.process.elapsed()))
         instance.stop()
-        await asyncio.sleep(max(0.0, absence.end - instance.fleet.at()))
+        await asyncio.sleep(max(0.0, absence.end - instance.process.elapsed()))
         await instance.start()
-        instance.ask()
+        instance.generate_request()
 
 
 async def run(
     plan: Plan,
     ready: Callable[[], None],
-    began: Awaitable[float],
+    schedule_start: Awaitable[float],
     ended: asyncio.Event,
     schedule: Schedule | None = None,
 ) -> dict[str, Role]:
-    """Play this process's hollow routers; `schedule` is the shared one by default.
+    """Run this process's hollow routers; `schedule` is the shared one by default.
 
-    Starts all, calls `ready`, waits for `began` (Unix time), asks and answers until the schedule or `ended`.
-    Returns the roles `hollow`, `full` (asked the full rate) and `lab` (the rest of the process).
+    Starts all, calls `ready`, waits for `schedule_start` (Unix time), and then generates requests until the
+    end of the schedule or `ended`. Returns the roles `hollow`, `full` (at the full rate) and `lab` (the rest
+    of the process).
     """
-    with shared_rings(), patch.object(real_discovery, "HttpClient", CountedClient):
-        return await _play(plan, ready, began, ended, schedule)
+    with shared_rings(), patch.object(real_discovery, "HttpClient", MeteredClient):
+        return await _play(plan, ready, schedule_start, ended, schedule)
 
 
 async def _play(
     plan: Plan,
     ready: Callable[[], None],
-    began: Awaitable[float],
+    schedule_start: Awaitable[float],
     ended: asyncio.Event,
     schedule: Schedule | None,
 ) -> dict[str, Role]:
-    fleet = Process(plan, schedule or Schedule())
-    instances = [Hollow(fleet, n, rate) for n, rate in zip(plan.hollow, rates(plan), strict=True)]
+    process = HollowProcess(plan, schedule or Schedule())
+    instances = [
+        HollowRouter(process, n, rate) for n, rate in zip(plan.hollow, request_rates(plan), strict=True)
+    ]
     start = {"wall": time.monotonic(), "cpu": time.process_time()}
     tasks: list[asyncio.Task[None]] = []
-    over = asyncio.ensure_future(ended.wait())
-    waits = asyncio.ensure_future(began)
+    end_wait = asyncio.ensure_future(ended.wait())
+    start_wait = asyncio.ensure_future(schedule_start)
     try:
         for instance in instances:
             await instance.start()
-            await asyncio.sleep(0)  # let those that are up ask and hear
+            await asyncio.sleep(0)  # let those already started make calls and receive messages
         start = {"wall": time.monotonic() - start["wall"], "cpu": time.process_time() - start["cpu"]}
-        log.info("hollow routers are up", count=len(instances), **start)
-        # what stays for the whole play is not gone through again and again: with hundreds of instances that
-        # would be counted as their own time
+        log.info("hollow routers started", count=len(instances), **start)
+        # Objects that live for the whole play are exempt from garbage collection: with hundreds of instances
+        # its repeated passes over them would be counted as the instances' processor time.
         gc.collect()
         gc.freeze()
         ready()
-        await asyncio.wait((over, waits), return_when=asyncio.FIRST_COMPLETED)
-        if waits.done():
-            fleet.began = waits.result()
+        await asyncio.wait((end_wait, start_wait), return_when=asyncio.FIRST_COMPLETED)
+        if start_wait.done():
+            process.schedule_start = start_wait.result()
             if schedule is None:
-                fleet.schedule = schedule_of(plan_begun(plan, fleet.began))
-            await asyncio.wait((over,), timeout=max(0.0, -fleet.at()))
-        for instance in instances:  # what the start took is not the schedule's
-            own = Meter()
-            instance.meter = CountedClient.meters[instance.address] = own
-            if instance.host is not None and isinstance(instance.host.router, Metered):
-                instance.host.router.meter = own
-        late: list[float] = []
-        tasks.append(asyncio.create_task(watch_lag(late)))
-        counted, spent = time.monotonic(), time.process_time()
-        if not over.done():
+                process.schedule = shared_schedule(with_schedule_start(plan, process.schedule_start))
+            await asyncio.wait((end_wait,), timeout=max(0.0, -process.elapsed()))
+        for instance in instances:  # new meters, as the start phase does not count
+            meter = Meter()
+            instance.meter = MeteredClient.meters[instance.address] = meter
+            if instance.host is not None and isinstance(instance.host.router, MeteredRouter):
+                instance.host.router.meter = meter
+        lags: list[float] = []
+        tasks.append(asyncio.create_task(sample_lag(lags)))
+        began, cpu_seconds = time.monotonic(), time.process_time()
+        if not end_wait.done():
             for instance in instances:
-                instance.next = asyncio.get_running_loop().call_later(
-                    instance.random.expovariate(instance.rate) if instance.rate else 1e9, instance.ask
+                instance.next_request = asyncio.get_running_loop().call_later(
+                    instance.random.expovariate(instance.rate) if instance.rate else 1e9,
+                    instance.generate_request,
                 )
             by_router: defaultdict[int, list[Absence]] = defaultdict(list)
-            for absence in fleet.schedule.absences:
+            for absence in process.schedule.absences:
                 by_router[absence.router].append(absence)
-            known = {i.number: i for i in instances}
-            tasks += [asyncio.create_task(absent(known[n], a)) for n, a in by_router.items() if n in known]
-            await asyncio.wait((over,), timeout=max(0.0, plan.experiment.seconds - fleet.at()))
-        seconds, spent = max(1e-3, time.monotonic() - counted), time.process_time() - spent
-        return results(plan, instances, start, seconds=seconds, spent=spent, late=late)
+            by_number = {i.number: i for i in instances}
+            tasks += [
+                asyncio.create_task(play_absences(by_number[n], a))
+                for n, a in by_router.items()
+                if n in by_number
+            ]
+            await asyncio.wait((end_wait,), timeout=max(0.0, plan.experiment.seconds - process.elapsed()))
+        seconds, cpu_seconds = max(1e-3, time.monotonic() - began), time.process_time() - cpu_seconds
+        return build_roles(plan, instances, start, seconds=seconds, cpu_seconds=cpu_seconds, lags=lags)
     finally:
-        for task in [*tasks, over, waits]:
+        for task in [*tasks, end_wait, start_wait]:
             task.cancel()
         for instance in instances:
             instance.stop()
-        await asyncio.sleep(0)  # sockets close
+        await asyncio.sleep(0)  # let sockets close
         gc.unfreeze()
 
 
-def plan_begun(plan: Plan, began: float) -> Plan:
-    """The plan with the time at which its schedule begins."""
-    return msgspec.structs.replace(plan, schedule_start=began)
+def with_schedule_start(plan: Plan, schedule_start: float) -> Plan:
+    """Return the plan with the Unix time at which its schedule begins."""
+    return msgspec.structs.replace(plan, schedule_start=schedule_start)
--- a/tests/test_lab_hollow.py
+++ b/tests/test_lab_hollow.py
@@ -295,17 +295,17 @@
 
 
 def test_faults_are_seen_from_the_routers_zone() -> None:
-    schedule = hollow.Schedule({1: Gone(5.0)}, cut=lambda one, other, at: one != other and at > 3)
-    assert schedule.state(1, 0, 1, 2.0) == "up"
-    assert schedule.state(1, 0, 1, 4.0) == "lost" and schedule.state(1, 1, 1, 4.0) == "up"
-    assert schedule.state(1, 1, 1, 6.0) == "lost"
+    schedule = hollow.Schedule({1: Gone(5.0)}, partitioned=lambda zone, other, at: zone != other and at > 3)
+    assert schedule.server_state(1, 0, 1, 2.0) == "up"
+    assert schedule.server_state(1, 0, 1, 4.0) == "lost" and schedule.server_state(1, 1, 1, 4.0) == "up"
+    assert schedule.server_state(1, 1, 1, 6.0) == "lost"
 
 
 def test_the_address_of_a_server_tells_its_number() -> None:
-    fleet = hollow.Process(plan_of(), hollow.Schedule())
-    addresses = fleet.plan.addresses
-    assert [fleet.number_of(addresses.server(n)) for n in (3, 300)] == [3, 300]
-    assert fleet.number_of(addresses.origin()) is None
-    assert server_name(3) in {m.entry.server for m in fleet.known}
-    with pytest.raises(ValueError, match="no server"):
-        fleet.number_of("127.0.0.1:1")
+    process = hollow.HollowProcess(plan_of(), hollow.Schedule())
+    addresses = process.plan.addresses
+    assert [process.server_number(addresses.server(n)) for n in (3, 300)] == [3, 300]
+    assert process.server_number(addresses.origin()) is None
+    assert server_name(3) in {m.entry.server for m in process.members}
+    with pytest.raises(ValueError, match="not the address of a cache server"):
+        process.server_number("127.0.0.1:1")
