--- a/fleetlab/cli.py
+++ b/fleetlab/cli.py
@@ -25,7 +25,15 @@
 from fleetlab.experiment import Experiment, ExperimentError, at_point, read_experiment, sweep_points
 from fleetlab.plan import Message
 from fleetlab.results import Result, write_result
-from fleetlab.runner import Options, Played, Refused, estimate, memory_bound, play, refuse_beyond_bounds
+from fleetlab.runner import (
+    FinishedPlay,
+    Options,
+    PlayRefused,
+    check_limits,
+    estimate_resources,
+    memory_limit,
+    play,
+)
 from fleetlab.sweep import chosen, is_done, plays, result_name
 
 BAD_FILE, REFUSED, INTERRUPTED = 2, 3, 130
@@ -51,7 +59,7 @@
     except (ExperimentError, DeploymentError) as e:
         click.echo(f"fleetlab: {e}", err=True)
         sys.exit(BAD_FILE)
-    except Refused as e:
+    except PlayRefused as e:
         click.echo(f"fleetlab: refused: {e}", err=True)
         sys.exit(REFUSED)
     except KeyboardInterrupt:
@@ -87,10 +95,14 @@
     return shlex.join(["python", "-m", "fleetlab", *sys.argv[1:]])
 
 
-def _play(base: Options | None, experiment: Experiment, seed: int, path: Path, logs: Path | None) -> Played:
+def _play(
+    base: Options | None, experiment: Experiment, seed: int, path: Path, logs: Path | None
+) -> FinishedPlay:
     """Play, write the result and say what went otherwise."""
     with _progress(path.stem) as progress:
-        options = dataclasses.replace(base or Options(), logs=logs, command=_command(), progress=progress)
+        options = dataclasses.replace(
+            base or Options(), log_dir=logs, command_line=_command(), progress=progress
+        )
         played = play(experiment, seed, options)
     write_result(path, played.result)
     for note in played.result.notes:
@@ -144,9 +156,9 @@
         left = [each for each in plays(experiment, out, places) if not is_done(each[2])]
         for each, _, path in left:
             try:
-                refuse_beyond_bounds(each)
-            except Refused as e:
-                raise Refused(f"{path.stem}: {e}") from None
+                check_limits(each)
+            except PlayRefused as e:
+                raise PlayRefused(f"{path.stem}: {e}") from None
         results: list[Result] = []
         for i, (each, seed, path) in enumerate(left):
             click.echo(f"play {i + 1} of {len(left)}: {path.stem}", err=True)
@@ -181,15 +193,15 @@
         ]
         own = (result_name(experiment, {}, experiment.seed), experiment)
         for name, each in [own, *(s for s in swept if s[0] != own[0])]:
-            needs = estimate(each)
+            needs = estimate_resources(each)
             fleet = each.fleet
             click.echo(
                 f"{name.removesuffix('.json')}: mode {each.mode}, "
                 f"{fleet.real} real and {fleet.hollow} hollow routers, {fleet.servers} servers; "
-                f"{needs.processes} processes, about {needs.memory_mb:.0f} MB of {memory_bound(each):.0f} MB"
+                f"{needs.processes} processes, about {needs.memory_mb:.0f} MB of {memory_limit(each):.0f} MB"
             )
         for _, each in [own, *swept]:
-            refuse_beyond_bounds(each)
+            check_limits(each)
 
 
 @main.command()
--- a/fleetlab/measure.py
+++ b/fleetlab/measure.py
@@ -1,4 +1,4 @@
-"""What processes use, seen from outside once a second, and how figures of several are put together."""
+"""Samples the resources that processes use once per second, and merges the metrics of several processes."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from fleetlab.results import Metric, Role
 
 MB = 1e6
-CONNECTIONS_EVERY = 5  # seconds: counting them reads the system's whole table
+CONNECTIONS_INTERVAL_S = 5  # counting connections reads the system's whole table
 UNITS = {
     "cpu.share": "core",
     "memory.mb": "MB",
@@ -23,8 +23,8 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Watched:
-    """A process to measure. `name` stays the same over restarts, `role` is where its figures go."""
+class MonitoredProcess:
+    """A process to sample. `name` stays the same over restarts; its metrics go to `role`."""
 
     role: str
     name: str
@@ -34,8 +34,8 @@
 
 
 @dataclass(slots=True)
-class Sums:
-    """One instance over the whole schedule."""
+class InstanceSamples:
+    """The samples of one instance over the whole schedule."""
 
     cpu: float = 0.0
     seconds: float = 0.0
@@ -43,30 +43,32 @@
 
 
 class Sampler:
-    """Takes a sample a second: processor time, memory (resident), descriptors and connections.
+    """Samples processor time, resident memory, descriptors and connections once per second.
 
-    The first sample only sets where the counting begins. What a process used between the last sample and its
-    end is not seen; a new one counts from its birth, its start-up included.
+    The first sample only sets the baseline. What a process uses between its last sample and its exit is not
+    counted; a new process counts from its start.
     """
 
     def __init__(self) -> None:
-        self._seen: dict[int, tuple[psutil.Process, float]] = {}  # by pid, with processor seconds until then
-        self._last = 0.0
-        self._sums: dict[tuple[str, str, str], Sums] = defaultdict(Sums)  # by role, prefix and name
-        self._seconds: dict[tuple[str, str], list[float]] = defaultdict(list)  # by role and metric
-        self._taken = 0
-        self._highest: dict[tuple[str, str, str], float] = defaultdict(float)
-
-    def sample(self, watched: Iterable[Watched]) -> float:
-        """Measure all that live. Returns their memory, in MB."""
+        self._processes: dict[int, tuple[psutil.Process, float]] = {}  # by pid, with processor seconds so far
+        self._last_sample = 0.0
+        self._samples: dict[tuple[str, str, str], InstanceSamples] = defaultdict(
+            InstanceSamples
+        )  # by role, prefix and name
+        self._series: dict[tuple[str, str], list[float]] = defaultdict(list)  # by role and metric
+        self._sample_count = 0
+        self._peak_memory: dict[tuple[str, str, str], float] = defaultdict(float)
+
+    def sample(self, monitored: Iterable[MonitoredProcess]) -> float:
+        """Sample all processes that still run. Returns their resident memory, in MB."""
         now = time.monotonic()
-        first = self._taken == 0
-        count_connections = self._taken % CONNECTIONS_EVERY == 1
+        first = self._sample_count == 0
+        count_connections = self._sample_count % CONNECTIONS_INTERVAL_S == 1
         total = 0.0
-        second: dict[tuple[str, str], list[float]] = defaultdict(list)
-        for each in watched:
+        by_metric: dict[tuple[str, str], list[float]] = defaultdict(list)
+        for each in monitored:
             try:
-                process, before = self._seen.get(each.pid) or (psutil.Process(each.pid), 0.0)
+                process, before = self._processes.get(each.pid) or (psutil.Process(each.pid), 0.0)
                 with process.oneshot():
                     times = process.cpu_times()
                     memory = process.memory_info().rss / MB
@@ -75,106 +77,106 @@
                     len(process.net_connections("tcp")) if each.connections and count_connections else None
                 )
             except (psutil.Error, FileNotFoundError):
-                continue  # it has ended, or is ending
+                continue  # it has exited, or is exiting
             used = times.user + times.system
-            self._seen[each.pid] = process, used
+            self._processes[each.pid] = process, used
             total += memory
             if first:
                 continue
-            sums = self._sums[each.role, each.prefix, each.name]
-            sums.cpu += used - before
-            sums.seconds += now - self._last
-            now_seen = {
-                "cpu.share": (used - before) / (now - self._last),
+            samples = self._samples[each.role, each.prefix, each.name]
+            samples.cpu += used - before
+            samples.seconds += now - self._last_sample
+            sampled = {
+                "cpu.share": (used - before) / (now - self._last_sample),
                 "memory.mb": memory,
                 "descriptors": float(descriptors),
             }
             if connections is not None:
-                now_seen["connections"] = float(connections)
-            for metric, value in now_seen.items():
-                sums.values[metric].append(value)
-                second[each.role, each.prefix + metric].append(value)
-            place = each.role, each.prefix, each.name
-            self._highest[place] = max(self._highest[place], memory)
+                sampled["connections"] = float(connections)
+            for metric, value in sampled.items():
+                samples.values[metric].append(value)
+                by_metric[each.role, each.prefix + metric].append(value)
+            key = each.role, each.prefix, each.name
+            self._peak_memory[key] = max(self._peak_memory[key], memory)
         busy = psutil.cpu_percent() / 100  # since the last call
         if not first:
-            second["lab", "machine.cpu.share"] = [busy]
-            self._sums["lab", "", ""].values["machine.cpu.share"].append(busy)
-        for key, values in second.items():
-            if not key[1].endswith("connections"):
-                self._seconds[key].append(sum(values) / len(values))
-        self._last = now
-        self._taken += 1
+            by_metric["lab", "machine.cpu.share"] = [busy]
+            self._samples["lab", "", ""].values["machine.cpu.share"].append(busy)
+        for name, values in by_metric.items():
+            if not name[1].endswith("connections"):
+                self._series[name].append(sum(values) / len(values))
+        self._last_sample = now
+        self._sample_count += 1
         return total
 
     def roles(self) -> dict[str, Role]:
-        """What was seen, by role: the mean over instances of each one's mean, and these means' range."""
+        """Return the metrics by role: the mean over instances of each one's mean, and the range of these."""
         means: dict[tuple[str, str], list[float]] = defaultdict(list)
         names: dict[str, set[str]] = defaultdict(set)
-        for (role, prefix, name), sums in self._sums.items():
+        for (role, prefix, name), samples in self._samples.items():
             names[role].add(name)
-            for metric, values in sums.values.items():
-                mean = sums.cpu / sums.seconds if metric == "cpu.share" else sum(values) / len(values)
+            for metric, values in samples.values.items():
+                mean = samples.cpu / samples.seconds if metric == "cpu.share" else sum(values) / len(values)
                 means[role, prefix + metric].append(mean)
-        for (role, prefix, _), highest in self._highest.items():
-            means[role, prefix + "memory.peak.mb"].append(highest)
+        for (role, prefix, _), peak in self._peak_memory.items():
+            means[role, prefix + "memory.peak.mb"].append(peak)
         roles = {role: Role(instances=max(len(each - {""}), 1)) for role, each in names.items()}
         for (role, metric), values in means.items():
             unit = next((u for m, u in UNITS.items() if metric.endswith(m)), "MB")
-            roles[role].metrics[metric] = over(values, unit)
-        for (role, metric), values in self._seconds.items():
+            roles[role].metrics[metric] = mean_and_range(values, unit)
+        for (role, metric), values in self._series.items():
             roles[role].seconds[metric] = [round(v, 5) for v in values]
         return roles
 
 
-def over(values: list[float], unit: str) -> Metric:
-    """The mean of some values and their range."""
+def mean_and_range(values: list[float], unit: str) -> Metric:
+    """Return the mean of some values and their range."""
     return Metric(sum(values) / len(values), unit, min(values), max(values), len(values))
 
 
-def _is_highest(metric: str) -> bool:
-    """Whether the whole's figure is the highest of its parts' and not their mean.
+def _merges_by_maximum(metric: str) -> bool:
+    """Return whether a metric of several processes is the maximum of theirs and not the mean.
 
-    The 99th percentile of all can't be told from those of the parts; the highest of them is a bound.
+    The 99th percentile of all can't be computed from those of the processes; their maximum is an upper bound.
     """
     return metric.endswith((".max", ".p99")) or metric in ("calls.waiting", "cold.window")
 
 
-def _joined(metric: str, parts: list[tuple[int, Metric]]) -> Metric:
-    """One metric of several processes; each weighs as many events, or else instances, as it counts."""
+def _merge_metrics(name: str, parts: list[tuple[int, Metric]]) -> Metric:
+    """Merge one metric of several processes, weighted by count where all have one, else by instances."""
     first = parts[0][1]
     if len(parts) == 1:
         return first
     ranges = [(m.low, m.high) if (m.low, m.high) != (0.0, 0.0) else (m.value, m.value) for _, m in parts]
     weights = [m.count for _, m in parts] if all(m.count for _, m in parts) else [n for n, _ in parts]
-    weighed = sum(w * m.value for w, (_, m) in zip(weights, parts, strict=True)) / max(sum(weights), 1)
-    value = max(m.value for _, m in parts) if _is_highest(metric) else weighed
+    mean = sum(w * m.value for w, (_, m) in zip(weights, parts, strict=True)) / max(sum(weights), 1)
+    value = max(m.value for _, m in parts) if _merges_by_maximum(name) else mean
     low, high = min(low for low, _ in ranges), max(high for _, high in ranges)
     return Metric(value, first.unit, low, high, sum(m.count for _, m in parts))
 
 
-def merge(reports: Iterable[tuple[str, Mapping[str, Role]]]) -> dict[str, Role]:
-    """The roles that processes report, each with its part's name, as one.
+def merge_roles(reports: Iterable[tuple[str, Mapping[str, Role]]]) -> dict[str, Role]:
+    """Merge the roles that processes report, each given with the process's part.
 
-    Processes of one part hold different instances, so instances add up where the part reports itself (hollow
-    routers share processes). Elsewhere two reports tell of the same instances.
+    Processes of one part hold different instances, so the instances of a part's own role add up (hollow
+    routers share processes). Reports about another part's role are about the same instances.
     """
     by_role: dict[str, list[tuple[str, Role]]] = defaultdict(list)
     for part, roles in reports:
         for name, role in roles.items():
             by_role[name].append((part, role))
     merged = {}
-    for name, told in by_role.items():
-        own = sum(role.instances for part, role in told if part == name)
-        whole = Role(instances=max([own, *(role.instances for part, role in told if part != name)]))
+    for name, reported in by_role.items():
+        own = sum(role.instances for part, role in reported if part == name)
+        whole = Role(instances=max([own, *(role.instances for part, role in reported if part != name)]))
         metrics: dict[str, list[tuple[int, Metric]]] = defaultdict(list)
         seconds: dict[str, list[tuple[int, list[float]]]] = defaultdict(list)
-        for _, role in told:
+        for _, role in reported:
             for key, metric in role.metrics.items():
                 metrics[key].append((role.instances, metric))
             for key, values in role.seconds.items():
                 seconds[key].append((role.instances, values))
-        whole.metrics = {key: _joined(key, parts) for key, parts in metrics.items()}
+        whole.metrics = {key: _merge_metrics(key, parts) for key, parts in metrics.items()}
         for key, series in seconds.items():
             shortest = min(len(values) for _, values in series)
             weight = max(sum(n for n, _ in series), 1)
@@ -187,4 +189,4 @@
     return merged
 
 
-__all__ = ["Sampler", "Watched", "merge", "over"]
+__all__ = ["MonitoredProcess", "Sampler", "mean_and_range", "merge_roles"]
--- a/tests/test_lab_runner.py
+++ b/tests/test_lab_runner.py
@@ -16,21 +16,21 @@
 
 from fleetlab.cli import main
 from fleetlab.experiment import Experiment, ExperimentError, Fault, Fleet
-from fleetlab.measure import merge
+from fleetlab.measure import merge_roles
 from fleetlab.results import Metric, Role, read_result
 from fleetlab.runner import (
     ROOT,
     Options,
+    PlayRefused,
+    check_limits,
     choose_addresses,
-    estimate,
-    parts_of,
+    current_python_command,
+    estimate_resources,
     play,
-    refuse_beyond_bounds,
     router_command,
     router_seed,
-    this_python,
+    worker_parts,
 )
-from fleetlab.runner import Refused as Beyond
 
 WORKERS = ["discovery", "caches", "origin", "network", "clients"]
 PATIENCE = 30.0  # seconds, at most, for what takes one
@@ -64,17 +64,18 @@
 CLI = """
 import sys
 from fleetlab.cli import main
-from fleetlab.runner import Options, this_python
-main(sys.argv[2:], obj=Options(run=this_python(), worker=[sys.executable, sys.argv[1]]))
+from fleetlab.runner import Options, current_python_command
+worker = [sys.executable, sys.argv[1]]
+main(sys.argv[2:], obj=Options(router_command=current_python_command(), worker_command=worker))
 """
 
 
 @pytest.fixture
 def options(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> Options:
-    monkeypatch.setattr("fleetlab.runner.LEAD", 0.1)
+    monkeypatch.setattr("fleetlab.runner.START_DELAY_S", 0.1)
     script = tmp_path / "worker.py"
     script.write_text(WORKER)
-    return Options(run=this_python(), worker=[sys.executable, str(script)])
+    return Options(router_command=current_python_command(), worker_command=[sys.executable, str(script)])
 
 
 def ours() -> list[psutil.Process]:
@@ -92,9 +93,9 @@
 
 
 def test_a_play_starts_measures_and_ends_all(options: Options, tmp_path: Path) -> None:
-    options.logs = tmp_path / "logs"
+    options.log_dir = tmp_path / "logs"
     faults = [Fault(kind="restart", at=0.1), Fault(kind="router_lost", at=0.2, lasts=0.3)]
-    options.events = lambda plan: [
+    options.absences = lambda plan: [
         Away(0, "restart", 0.1, 3.8),
         Away(1, "lost", 0.2, 0.5),
         Away(2, "lost", 1, 2),
@@ -119,41 +120,41 @@
     assert result.roles["discovery"].metrics["process.memory.mb"].unit == "MB"
     assert "machine.cpu.share" in result.roles["lab"].metrics
     assert result.commit and result.machine.cores
-    assert "listening on" in (options.logs / "n0.log").read_text()
+    assert "listening on" in (options.log_dir / "n0.log").read_text()
 
 
 def test_bounds_refuse_before_anything_is_started() -> None:
-    nothing = Options(worker=["/nowhere"], run="false")
-    with pytest.raises(Beyond, match=r"306 processes .* bound of 300"):
+    nothing = Options(worker_command=["/nowhere"], router_command="false")
+    with pytest.raises(PlayRefused, match=r"306 processes .* limit of 300"):
         play(Experiment(name="x", fleet=Fleet(real=301), most_processes=1000), 1, nothing)
-    with pytest.raises(Beyond, match=r"9 processes .* bound of 8"):
+    with pytest.raises(PlayRefused, match=r"9 processes .* limit of 8"):
         play(Experiment(name="x", most_processes=8), 1, nothing)
-    with pytest.raises(Beyond, match=r"an estimated \d+ MB is over the bound of \d+ MB"):
+    with pytest.raises(PlayRefused, match=r"an estimated \d+ MB exceeds the limit of \d+ MB"):
         play(Experiment(name="x", memory_share=1e-6), 1, nothing)
     with pytest.raises(ExperimentError, match="mode"):
         play(Experiment(name="x", mode="model"), 1, nothing)
-    assert refuse_beyond_bounds(Experiment(name="x")).processes == 9
+    assert check_limits(Experiment(name="x")).processes == 9
 
 
 def test_too_few_descriptors_refuse_as_well(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("fleetlab.runner.resource.getrlimit", lambda _: (100, 500))
-    assert refuse_beyond_bounds(Experiment(name="x", fleet=Fleet(hollow=200)))
-    with pytest.raises(Beyond, match=r"needs 530 descriptors, over the bound of 500"):
-        refuse_beyond_bounds(Experiment(name="x", fleet=Fleet(real=3, hollow=230)))
+    assert check_limits(Experiment(name="x", fleet=Fleet(hollow=200)))
+    with pytest.raises(PlayRefused, match=r"needs 530 descriptors, which exceeds the limit of 500"):
+        check_limits(Experiment(name="x", fleet=Fleet(real=3, hollow=230)))
 
 
 def test_the_estimate_grows_with_routers_and_servers() -> None:
     def memory(**fleet: int) -> float:
-        return estimate(Experiment(name="x", fleet=Fleet(**fleet))).memory_mb
+        return estimate_resources(Experiment(name="x", fleet=Fleet(**fleet))).memory_mb
 
     assert memory(real=4, hollow=230) > memory(real=4, hollow=4)
     assert memory(hollow=230, servers=930) - memory(hollow=230, servers=13) > 230 * 0.0042 * 900
 
 
 def test_hollow_routers_are_dealt_round_and_idle_parts_left_out() -> None:
-    parts = parts_of(Experiment(name="x", fleet=Fleet(hollow=7, processes=3)))
+    parts = worker_parts(Experiment(name="x", fleet=Fleet(hollow=7, processes=3)))
     assert [hollow for _, hollow in parts if hollow] == [[4, 7, 10], [5, 8], [6, 9]]
-    parts = parts_of(Experiment(name="x", fleet=Fleet(real=0, hollow=1)))
+    parts = worker_parts(Experiment(name="x", fleet=Fleet(real=0, hollow=1)))
     assert [part for part, _ in parts] == [*WORKERS[:4], "hollow"]
 
 
@@ -161,18 +162,18 @@
     (tmp_path / "broken").touch()
     played = play(Experiment(name="x", fleet=Fleet(real=0, hollow=1)), 1, options)
     assert played.result.broken_off and not played.interrupted and not ours()
-    assert any("origin ended with 1: no origin today" in note for note in played.result.notes)
+    assert any("origin exited with code 1: no origin today" in note for note in played.result.notes)
 
 
 def test_a_real_router_that_ends_by_itself_breaks_the_play_off(options: Options) -> None:
-    options.run = "echo no room >&2; exit 4"
+    options.router_command = "echo no room >&2; exit 4"
     played = play(Experiment(name="x", fleet=Fleet(real=1)), 1, options)
     assert played.result.broken_off and not ours()
-    assert any("router n0 ended by itself with 4: no room" in note for note in played.result.notes)
+    assert any("router n0 exited unexpectedly with code 4: no room" in note for note in played.result.notes)
 
 
 def test_parts_that_are_not_up_in_time_are_named(options: Options) -> None:
-    options.worker = ["/bin/sh", "-c", "exec sleep 60"]
+    options.worker_command = ["/bin/sh", "-c", "exec sleep 60"]
     played = play(Experiment(name="x", settle=0.3, fleet=Fleet(real=0, hollow=1)), 1, options)
     assert played.result.broken_off and not ours()
     assert any("within 0.3 s (settle): discovery, caches, origin, network" in n for n in played.result.notes)
@@ -196,7 +197,9 @@
     script = tmp_path / "module.py"
     script.write_text('import sys; print(\'{"roles":{"module":{"instances":\' + sys.argv[2] + \'}}}\')')
     experiment = Experiment(name="x", mode="module")
-    played = play(experiment, 5, Options(module=[sys.executable, str(script)], worker=["/nowhere"]))
+    played = play(
+        experiment, 5, Options(module_command=[sys.executable, str(script)], worker_command=["/nowhere"])
+    )
     assert not played.result.broken_off and played.result.roles["module"].instances == 5
 
 
@@ -226,7 +229,7 @@
 def test_a_process_that_stays_after_sigterm_is_killed(
     options: Options, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("fleetlab.runner.ENDING", 0.5)
+    monkeypatch.setattr("fleetlab.runner.TERMINATE_TIMEOUT_S", 0.5)
     (tmp_path / "deaf").touch()
     (tmp_path / "broken").touch()
     began = time.monotonic()
@@ -257,7 +260,7 @@
         return {"hollow": Role(instances, metrics, {"rate.list": [value]})}
 
     seen = {"hollow": Role(4, {"bytes.in.peers": Metric(9.0, "B/s")})}
-    role = merge([("hollow", told(1, 10, 3)), ("hollow", told(3, 20, 1)), ("network", seen)])["hollow"]
+    role = merge_roles([("hollow", told(1, 10, 3)), ("hollow", told(3, 20, 1)), ("network", seen)])["hollow"]
     assert role.instances == 4 and role.metrics["bytes.in.peers"].value == 9
     assert role.metrics["cpu.us.list"] == Metric(12.5, "", 10, 20, 4)
     assert role.metrics["force.max"].value == 20
@@ -272,7 +275,7 @@
     (tmp_path / ".venv").rmdir()
     deploy.write_text('build = "false"\nrun = "exec it"\n')
     command, (note,) = router_command(tmp_path)
-    assert command == this_python() and "build failed" in note
+    assert command == current_python_command() and "build failed" in note
 
 
 def test_a_router_has_a_new_seed_at_each_start_but_a_play_repeats_them() -> None:
