--- a/fleetlab/cli.py
+++ b/fleetlab/cli.py
@@ -34,7 +34,7 @@
     memory_limit,
     play,
 )
-from fleetlab.sweep import chosen, is_done, plays, result_name
+from fleetlab.sweep import is_complete, result_filename, select_points, sweep_plays
 
 BAD_FILE, REFUSED, INTERRUPTED = 2, 3, 130
 PLAIN_EVERY = 5.0  # seconds between lines where there is no terminal
@@ -135,7 +135,7 @@
     with _exit_codes():
         experiment = read_experiment(file)
         seed = experiment.seed if seed is None else seed
-        played = _play(base, experiment, seed, out / result_name(experiment, {}, seed), logs)
+        played = _play(base, experiment, seed, out / result_filename(experiment, {}, seed), logs)
         _end([played.result], played.interrupted)
 
 
@@ -150,10 +150,10 @@
     with _exit_codes():
         experiment = read_experiment(file)
         try:
-            places = chosen(wanted, len(sweep_points(experiment)))
+            places = select_points(wanted, len(sweep_points(experiment)))
         except ValueError as e:
             raise click.BadParameter(str(e), param_hint="--points") from None
-        left = [each for each in plays(experiment, out, places) if not is_done(each[2])]
+        left = [each for each in sweep_plays(experiment, out, places) if not is_complete(each[2])]
         for each, _, path in left:
             try:
                 check_limits(each)
@@ -188,10 +188,10 @@
     with _exit_codes():
         experiment = read_experiment(file)
         swept = [
-            (result_name(experiment, p, experiment.seed), at_point(experiment, p))
+            (result_filename(experiment, p, experiment.seed), at_point(experiment, p))
             for p in sweep_points(experiment)
         ]
-        own = (result_name(experiment, {}, experiment.seed), experiment)
+        own = (result_filename(experiment, {}, experiment.seed), experiment)
         for name, each in [own, *(s for s in swept if s[0] != own[0])]:
             needs = estimate_resources(each)
             fleet = each.fleet
--- a/fleetlab/sweep.py
+++ b/fleetlab/sweep.py
@@ -11,56 +11,58 @@
 from fleetlab.results import read_result
 
 
-def result_name(experiment: Experiment, point: dict[str, float], seed: int) -> str:
-    """`NAME-AXIS-VALUE-sSEED.json`; axes that go together are named by the first."""
-    where = "".join(f"-{axis}-{value:g}" for axis, value in list(point.items())[:1])
-    return f"{experiment.name}{where}-s{seed}.json"
+def result_filename(experiment: Experiment, point: dict[str, float], seed: int) -> str:
+    """Return `NAME-AXIS-VALUE-sSEED.json`; axes that vary in step are named by the first of them."""
+    axis_part = "".join(f"-{axis}-{value:g}" for axis, value in list(point.items())[:1])
+    return f"{experiment.name}{axis_part}-s{seed}.json"
 
 
-def chosen(texts: Sequence[str], count: int) -> list[int]:
-    """Places (from 0) of the points asked for: `3`, `2..5`, `4..` or `..2`, counted from 1; all if none.
+def select_points(texts: Sequence[str], count: int) -> list[int]:
+    """Return the indices (from 0) of the selected points: `3`, `2..5`, `4..` or `..2`, counted from 1.
 
-    Raises ValueError that names what is no such range.
+    Without any text all points are selected. Raises ValueError that names a text that is not such a range.
     """
     if not texts:
         return list(range(count))
-    places: set[int] = set()
+    indices: set[int] = set()
     for text in texts:
         first, dots, last = text.partition("..")
         try:
             low = int(first) if first or not dots else 1
             high = int(last) if last else count if dots else low
         except ValueError:
-            raise ValueError(f"{text!r}: wanted a point or a range such as 2..5") from None
+            raise ValueError(f"{text!r}: expected a point or a range such as 2..5") from None
         if not 1 <= low <= high <= count:
-            raise ValueError(f"{text!r}: wanted points of 1 to {count}")
-        places.update(range(low - 1, high))
-    return sorted(places)
+            raise ValueError(f"{text!r}: expected points of 1 to {count}")
+        indices.update(range(low - 1, high))
+    return sorted(indices)
 
 
-def plays(experiment: Experiment, out: Path, places: Sequence[int]) -> Iterator[tuple[Experiment, int, Path]]:
-    """Each play of the points at `places`: what to play, with which seed, and its result file.
+def sweep_plays(
+    experiment: Experiment, out: Path, indices: Sequence[int]
+) -> Iterator[tuple[Experiment, int, Path]]:
+    """Yield each play of the points at `indices`: its experiment, its seed and its result file.
 
-    Plays go round all points once before any gets its second, so a sweep that is cut short is one with fewer
-    plays of each.
+    All points are played once before any is played again, so that an interrupted sweep has fewer plays of
+    each point rather than fewer points.
     """
-    every = sweep_points(experiment)
+    points = sweep_points(experiment)
     for i in range(experiment.sweep.plays):
-        for place in places:
+        for index in indices:
             seed = experiment.seed + i
             yield (
-                at_point(experiment, every[place]),
+                at_point(experiment, points[index]),
                 seed,
-                out / result_name(experiment, every[place], seed),
+                out / result_filename(experiment, points[index], seed),
             )
 
 
-def is_done(path: Path) -> bool:
-    """Whether a play's result is there and whole; one that was broken off is played again."""
+def is_complete(path: Path) -> bool:
+    """Return whether a result file exists, can be read and is not of a play that was broken off."""
     try:
         return not read_result(path).broken_off
     except (OSError, msgspec.MsgspecError):
         return False
 
 
-__all__ = ["chosen", "is_done", "plays", "result_name"]
+__all__ = ["is_complete", "result_filename", "select_points", "sweep_plays"]
--- a/fleetlab/worker.py
+++ b/fleetlab/worker.py
@@ -1,4 +1,4 @@
-"""`python -m fleetlab.worker PLANFILE`: one process of an experiment, told what to be by its plan."""
+"""`python -m fleetlab.worker PLANFILE`: a worker process, which plays the part that its plan names."""
 
 from __future__ import annotations
 
@@ -21,41 +21,45 @@
 from fleetlab.plan import Message, Plan
 from fleetlab.results import Role
 
-GRACE = 5.0  # seconds for a part to come to its end once it is told to
-# measures of answers that no router should give; more than none goes into the note
-WRONG = {"clients": ("foreign", "unasked"), "caches": ("syntax", "writes"), "origin": ("malformed",)}
+STOP_TIMEOUT_S = 5.0  # for a part to finish once it is told to
+# metrics, by role, of requests that no router should make and answers that none should give; noted unless 0
+VIOLATIONS = {"clients": ("foreign", "unasked"), "caches": ("syntax", "writes"), "origin": ("malformed",)}
 
 
 class Part(Protocol):
-    """What each part's module has."""
+    """The interface of each part's module."""
 
     async def run(
-        self, plan: Plan, ready: Callable[[], None], began: Awaitable[float], ended: asyncio.Event
+        self, plan: Plan, ready: Callable[[], None], schedule_start: Awaitable[float], ended: asyncio.Event
     ) -> dict[str, Role]:
-        """Play the part; `ready` when listening, begin at `began`, end after the schedule or when `ended`."""
+        """Play the part and return its roles.
 
+        Calls `ready` when it listens, begins at `schedule_start` (Unix time), and returns some time after the
+        schedule or when `ended` is set.
+        """
 
-class Began(msgspec.Struct):
-    """The line that tells when the schedule begins, in Unix time."""
 
-    began: float
+class ScheduleStart(msgspec.Struct):
+    """The runner's message that announces when the schedule begins."""
 
+    unix_time: float = msgspec.field(name="began")
 
-def module_of(plan: Plan) -> Part:
-    """The part's module, the only one that this process loads."""
+
+def load_part(plan: Plan) -> Part:
+    """Import the part's module, the only one of them that this process loads."""
     name = "fleetlab.hollow" if plan.part == "hollow" else f"fleetlab.standins.{plan.part}"
     return cast(Part, importlib.import_module(name))
 
 
 def log_to_stderr() -> None:
-    """One JSON object a line, from the standard library's loggers as well."""
+    """Log one JSON object per line, from the standard library's loggers as well."""
     shared: list[structlog.typing.Processor] = [
         structlog.stdlib.add_log_level,
         structlog.stdlib.add_logger_name,
         structlog.processors.TimeStamper(fmt="iso"),
         structlog.processors.format_exc_info,
     ]
-    form = structlog.stdlib.ProcessorFormatter(
+    formatter = structlog.stdlib.ProcessorFormatter(
         foreign_pre_chain=shared,
         processors=[
             structlog.stdlib.ProcessorFormatter.remove_processors_meta,
@@ -63,7 +67,7 @@
         ],
     )
     handler = logging.StreamHandler(sys.stderr)
-    handler.setFormatter(form)
+    handler.setFormatter(formatter)
     logging.basicConfig(handlers=[handler], level=logging.INFO, force=True)
     structlog.configure(
         processors=[*shared, structlog.stdlib.ProcessorFormatter.wrap_for_formatter],
@@ -72,84 +76,84 @@
     )
 
 
-def say(message: Message) -> None:
-    """Print a line for the runner."""
+def send_message(message: Message) -> None:
+    """Print a message for the runner; a runner that has exited is ignored."""
     with suppress(BrokenPipeError):
         sys.stdout.buffer.write(msgspec.json.encode(message) + b"\n")
         sys.stdout.buffer.flush()
 
 
-def note_of(roles: dict[str, Role]) -> str:
-    """What went wrong in a way that no experiment asks for."""
+def violations_note(roles: dict[str, Role]) -> str:
+    """Return a note of protocol violations by routers, which no experiment causes; empty without any."""
     found = [
-        f"{name}: {metrics[measure].count or metrics[measure].value:g} {measure}"
-        for name, measures in WRONG.items()
+        f"{name}: {metrics[metric].count or metrics[metric].value:g} {metric}"
+        for name, violations in VIOLATIONS.items()
         if name in roles
         for metrics in [roles[name].metrics]
-        for measure in measures
-        if measure in metrics and metrics[measure].value
+        for metric in violations
+        if metric in metrics and metrics[metric].value
     ]
     return "; ".join(found)
 
 
-async def work(plan: Plan) -> None:
+async def play_part(plan: Plan) -> None:
     """Play the plan's part, with the runner at standard input and output."""
     loop = asyncio.get_running_loop()
-    began: asyncio.Future[float] = loop.create_future()
+    schedule_start: asyncio.Future[float] = loop.create_future()
     ended = asyncio.Event()
 
-    def told(line: bytes) -> None:
-        if not began.done():
-            began.set_result(msgspec.json.decode(line, type=Began).began)
+    def receive(line: bytes) -> None:
+        if not schedule_start.done():
+            schedule_start.set_result(msgspec.json.decode(line, type=ScheduleStart).unix_time)
 
-    def listen() -> None:
-        held = b""
-        # read without a buffer: one that a thread is reading from can't be shut down with the interpreter
+    def read_stdin() -> None:
+        rest = b""
+        # unbuffered: the interpreter can't shut down a buffered reader while a thread reads from it
         while data := os.read(0, 4096):
-            *lines, held = (held + data).split(b"\n")
+            *lines, rest = (rest + data).split(b"\n")
             for line in lines:
-                loop.call_soon_threadsafe(told, line)
-        with suppress(RuntimeError):  # the loop has ended
+                loop.call_soon_threadsafe(receive, line)
+        with suppress(RuntimeError):  # the loop is closed
             loop.call_soon_threadsafe(ended.set)
 
-    # a thread, as standard input may be a file or a terminal; it ends with the process
-    threading.Thread(target=listen, daemon=True).start()
+    # a daemon thread, as standard input may be a regular file or a terminal instead of a pipe
+    threading.Thread(target=read_stdin, daemon=True).start()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, ended.set)
     part = asyncio.ensure_future(
         cast(
             "Awaitable[dict[str, Role]]",
-            module_of(plan).run(plan, lambda: say(Message(ready=True)), began, ended),
+            load_part(plan).run(plan, lambda: send_message(Message(ready=True)), schedule_start, ended),
         )
     )
     end = asyncio.create_task(ended.wait())
     await asyncio.wait({part, end}, return_when=asyncio.FIRST_COMPLETED)
     end.cancel()
     if not part.done():
-        await asyncio.wait({part}, timeout=GRACE)
+        await asyncio.wait({part}, timeout=STOP_TIMEOUT_S)
     roles: dict[str, Role] = {}
     note = ""
     if part.done():
         roles = part.result()
-        note = note_of(roles)
+        note = violations_note(roles)
     else:
         part.cancel()
-        note = f"{plan.part} did not end in {GRACE} s"
-    say(Message(roles=roles, note=note))
+        note = f"{plan.part} did not stop within {STOP_TIMEOUT_S} s"
+    send_message(Message(roles=roles, note=note))
 
 
 def main(arguments: list[str]) -> int:
-    """Read the plan and play it; 2 for a wrong command line."""
+    """Read the plan and play it. Returns the exit code: 2 for a wrong command line."""
     log_to_stderr()
     log = structlog.get_logger("worker")
     if len(arguments) != 1:
-        log.error("the only argument is the plan's file")
+        log.error("expected the plan's file as the only argument")
         return 2
     plan = msgspec.json.decode(Path(arguments[0]).read_bytes(), type=Plan)
-    most = resource.getrlimit(resource.RLIMIT_NOFILE)[1]
-    resource.setrlimit(resource.RLIMIT_NOFILE, (most, most))
-    log.info("begins", part=plan.part, hollow=len(plan.hollow), descriptors=most)
-    asyncio.run(work(plan))
+    limit = resource.getrlimit(resource.RLIMIT_NOFILE)[1]
+    resource.setrlimit(resource.RLIMIT_NOFILE, (limit, limit))
+    log.info("worker started", part=plan.part, hollow=len(plan.hollow), descriptors=limit)
+    asyncio.run(play_part(plan))
     return 0
 
 
--- a/tests/test_lab_experiment.py
+++ b/tests/test_lab_experiment.py
@@ -9,7 +9,7 @@
 
 from fleetlab.experiment import Experiment, ExperimentError, Fault, at_point, read_experiment, sweep_points
 from fleetlab.results import Machine, Result, write_result
-from fleetlab.sweep import chosen, is_done, plays, result_name
+from fleetlab.sweep import is_complete, result_filename, select_points, sweep_plays
 
 LAB = Path(__file__).parent.parent / "lab"
 
@@ -88,30 +88,30 @@
     together = read_experiment(written(tmp_path, text + "\ntogether = true"))
     assert sweep_points(together) == [{"fleet.hollow": 1, "seconds": 3}, {"fleet.hollow": 2, "seconds": 4}]
     assert sweep_points(Experiment(name="x")) == [{}]
-    names = [path.name for _, _, path in plays(alone, tmp_path, [1, 2])]
+    names = [path.name for _, _, path in sweep_plays(alone, tmp_path, [1, 2])]
     assert names == [
         "x-fleet.hollow-2-s5.json",
         "x-seconds-3-s5.json",
         "x-fleet.hollow-2-s6.json",
         "x-seconds-3-s6.json",
     ]
-    assert result_name(alone, {}, 9) == "x-s9.json"
+    assert result_filename(alone, {}, 9) == "x-s9.json"
 
 
 def test_points_are_chosen_by_number_and_range() -> None:
-    assert chosen([], 3) == [0, 1, 2]
-    assert chosen(["2..3", "5.."], 6) == [1, 2, 4, 5]
-    assert chosen(["..2", "1"], 6) == [0, 1]
+    assert select_points([], 3) == [0, 1, 2]
+    assert select_points(["2..3", "5.."], 6) == [1, 2, 4, 5]
+    assert select_points(["..2", "1"], 6) == [0, 1]
     for wrong in ("0", "7", "x", "3..2", "1..9"):
-        with pytest.raises(ValueError, match="wanted"):
-            chosen([wrong], 6)
+        with pytest.raises(ValueError, match="expected"):
+            select_points([wrong], 6)
 
 
 def test_a_play_that_was_broken_off_is_not_done(tmp_path: Path) -> None:
     path = tmp_path / "r.json"
-    assert not is_done(path)
+    assert not is_complete(path)
     result = Result(Experiment(name="x"), 1, "c", False, "", "", Machine("", 1, 1, ""), broken_off=True)
     write_result(path, result)
-    assert not is_done(path)
+    assert not is_complete(path)
     write_result(path, msgspec.structs.replace(result, broken_off=False))
-    assert is_done(path)
+    assert is_complete(path)
