--- a/fleetlab/__init__.py
+++ b/fleetlab/__init__.py
@@ -1,5 +1,5 @@
-"""A laboratory for fleets: real routers, hollow ones and stand-ins for all around them, on loopback.
+"""A laboratory for fleets on loopback: real routers, hollow routers, and stand-ins for all other parties.
 
-The router never imports it. `python -m fleetlab run FILE` plays an experiment, `sweep` plays it at growing
-sizes, and `report` makes slopes, plots and the tables of docs/CAPACITY.md from the result files.
+The router never imports it. `python -m fleetlab run FILE` plays an experiment, `sweep` plays it at the points
+of its sweep, and `report` makes slopes, plots and the tables of docs/CAPACITY.md from the result files.
 """
--- a/fleetlab/__main__.py
+++ b/fleetlab/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m fleetlab`."""
+"""Entry point of `python -m fleetlab`."""
 
 from fleetlab.cli import main
 
--- a/fleetlab/cli.py
+++ b/fleetlab/cli.py
@@ -1,7 +1,7 @@
-"""The commands: run, sweep, report, check and sites.
+"""The command line: run, sweep, report, check and sites.
 
-They end with 0, 1 where a play broke off by a failure, 2 for a file or option that can't be used, 3 where
-bounds refuse it, and 130 after Ctrl-C.
+Exit codes: 0; 1 if a play failed; 2 for an invalid file or option; 3 if a play is refused as it exceeds its
+limits; 130 after Ctrl-C.
 """
 
 from __future__ import annotations
@@ -36,72 +36,72 @@
 )
 from fleetlab.sweep import is_complete, result_filename, select_points, sweep_plays
 
-BAD_FILE, REFUSED, INTERRUPTED = 2, 3, 130
-PLAIN_EVERY = 5.0  # seconds between lines where there is no terminal
+EXIT_INVALID_FILE, EXIT_REFUSED, EXIT_INTERRUPTED = 2, 3, 130
+PROGRESS_INTERVAL_S = 5.0  # between progress lines, if standard error is not a terminal
 FILE = click.argument("file", type=click.Path(path_type=Path))
 OUT = click.option(
     "--out",
     type=click.Path(path_type=Path, file_okay=False),
     default=Path("build/lab"),
     show_default=True,
-    help="Where result files go.",
+    help="Directory for result files.",
 )
 LOGS = click.option(
-    "--logs", type=click.Path(path_type=Path, file_okay=False), help="Keep all logs in this folder."
+    "--logs", type=click.Path(path_type=Path, file_okay=False), help="Keep all logs in this directory."
 )
 
 
 @contextlib.contextmanager
 def _exit_codes() -> Iterator[None]:
-    """Errors as one line and an exit code."""
+    """Turn exceptions into a line on standard error and an exit code."""
     try:
         yield
     except (ExperimentError, DeploymentError) as e:
         click.echo(f"fleetlab: {e}", err=True)
-        sys.exit(BAD_FILE)
+        sys.exit(EXIT_INVALID_FILE)
     except PlayRefused as e:
         click.echo(f"fleetlab: refused: {e}", err=True)
-        sys.exit(REFUSED)
+        sys.exit(EXIT_REFUSED)
     except KeyboardInterrupt:
-        sys.exit(INTERRUPTED)
+        sys.exit(EXIT_INTERRUPTED)
 
 
 @contextlib.contextmanager
-def _progress(what: str) -> Iterator[Callable[[str, float, float], None]]:
-    """A bar on a terminal; else a line every five seconds."""
+def _progress(name: str) -> Iterator[Callable[[str, float, float], None]]:
+    """Show progress: a bar on a terminal, else a line every five seconds."""
     if not sys.stderr.isatty():
-        last, shown = -PLAIN_EVERY, ""
+        last, shown_stage = -PROGRESS_INTERVAL_S, ""
 
         def line(stage: str, done: float, total: float) -> None:
-            nonlocal last, shown
-            if stage != shown or time.monotonic() - last >= PLAIN_EVERY:
-                last, shown = time.monotonic(), stage
+            nonlocal last, shown_stage
+            if stage != shown_stage or time.monotonic() - last >= PROGRESS_INTERVAL_S:
+                last, shown_stage = time.monotonic(), stage
                 of = f" of {total:.0f}" if total else ""
-                click.echo(f"{what}: {stage}, {done:.0f}{of} s", err=True)
+                click.echo(f"{name}: {stage}, {done:.0f}{of} s", err=True)
 
         yield line
         return
     columns = (TextColumn("{task.description}"), BarColumn(), TimeElapsedColumn())
     with Progress(*columns, console=Console(stderr=True)) as bar:
-        task = bar.add_task(what)
+        task = bar.add_task(name)
 
         def draw(stage: str, done: float, total: float) -> None:
-            bar.update(task, description=f"{what}: {stage}", completed=done, total=total or None)
+            bar.update(task, description=f"{name}: {stage}", completed=done, total=total or None)
 
         yield draw
 
 
-def _command() -> str:
+def _command_line() -> str:
     return shlex.join(["python", "-m", "fleetlab", *sys.argv[1:]])
 
 
 def _play(
     base: Options | None, experiment: Experiment, seed: int, path: Path, logs: Path | None
 ) -> FinishedPlay:
-    """Play, write the result and say what went otherwise."""
+    """Play, write the result, and print its notes and path."""
     with _progress(path.stem) as progress:
         options = dataclasses.replace(
-            base or Options(), log_dir=logs, command_line=_command(), progress=progress
+            base or Options(), log_dir=logs, command_line=_command_line(), progress=progress
         )
         played = play(experiment, seed, options)
     write_result(path, played.result)
@@ -111,80 +111,87 @@
     return played
 
 
-def _end(results: list[Result], interrupted: bool) -> None:
-    """Leave with the code that fits."""
+def _exit_with_code(results: list[Result], interrupted: bool) -> None:
+    """Exit with the code for these results."""
     if interrupted:
-        sys.exit(INTERRUPTED)
+        sys.exit(EXIT_INTERRUPTED)
     if any(r.broken_off for r in results):
         sys.exit(1)
 
 
 @click.group()
 def main() -> None:
-    """Plays fleets of routers on loopback and measures them."""  # an `obj` of main is the runner's Options
+    """Play fleets of routers on loopback and measure them."""  # tests pass Options as the context object
 
 
 @main.command()
 @FILE
 @OUT
-@click.option("--seed", type=int, help="Instead of the file's.")
+@click.option("--seed", type=int, help="Use this seed instead of the file's.")
 @LOGS
 @click.pass_obj
 def run(base: Options | None, file: Path, out: Path, seed: int | None, logs: Path | None) -> None:
-    """Play FILE once, by its own values."""
+    """Play FILE once, without its sweep."""
     with _exit_codes():
         experiment = read_experiment(file)
         seed = experiment.seed if seed is None else seed
         played = _play(base, experiment, seed, out / result_filename(experiment, {}, seed), logs)
-        _end([played.result], played.interrupted)
+        _exit_with_code([played.result], played.interrupted)
 
 
 @main.command()
 @FILE
 @OUT
-@click.option("--points", "wanted", multiple=True, metavar="N|N..M", help="Only these, counted from 1.")
+@click.option("--points", "selected", multiple=True, metavar="N|N..M", help="Only these, counted from 1.")
 @LOGS
 @click.pass_obj
-def sweep(base: Options | None, file: Path, out: Path, wanted: tuple[str, ...], logs: Path | None) -> None:
-    """Play the points of FILE's sweep, but for those whose result is there."""
+def sweep(base: Options | None, file: Path, out: Path, selected: tuple[str, ...], logs: Path | None) -> None:
+    """Play the points of FILE's sweep, except those with a complete result."""
     with _exit_codes():
         experiment = read_experiment(file)
         try:
-            places = select_points(wanted, len(sweep_points(experiment)))
+            indices = select_points(selected, len(sweep_points(experiment)))
         except ValueError as e:
             raise click.BadParameter(str(e), param_hint="--points") from None
-        left = [each for each in sweep_plays(experiment, out, places) if not is_complete(each[2])]
-        for each, _, path in left:
+        remaining = [each for each in sweep_plays(experiment, out, indices) if not is_complete(each[2])]
+        for each, _, path in remaining:
             try:
                 check_limits(each)
             except PlayRefused as e:
                 raise PlayRefused(f"{path.stem}: {e}") from None
         results: list[Result] = []
-        for i, (each, seed, path) in enumerate(left):
-            click.echo(f"play {i + 1} of {len(left)}: {path.stem}", err=True)
+        for i, (each, seed, path) in enumerate(remaining):
+            click.echo(f"play {i + 1} of {len(remaining)}: {path.stem}", err=True)
             played = _play(base, each, seed, path, logs / path.stem if logs else None)
             results.append(played.result)
             if played.interrupted:
-                _end(results, True)
-        _end(results, False)
+                _exit_with_code(results, True)
+        _exit_with_code(results, False)
 
 
 @main.command()
 @click.argument("results", nargs=-1, required=True, type=click.Path(path_type=Path, exists=True))
-@click.option("--out", required=True, type=click.Path(path_type=Path, file_okay=False), help="For the plots.")
 @click.option(
-    "--page", type=click.Path(path_type=Path, dir_okay=False), help="A page whose tables are written anew."
+    "--out",
+    required=True,
+    type=click.Path(path_type=Path, file_okay=False),
+    help="Directory for tables and plots.",
+)
+@click.option(
+    "--page",
+    type=click.Path(path_type=Path, dir_okay=False),
+    help="Page to write with the tables of this report.",
 )
 def report(results: tuple[Path, ...], out: Path, page: Path | None) -> None:
-    """Make slopes, plots and tables from RESULTS: result files, summaries, or folders of these."""
+    """Write slopes, plots and tables from RESULTS: result files, summaries, or directories of these."""
     with _exit_codes():
-        _part("fleetlab.report").make(list(results), out, page)
+        _load("fleetlab.report").make(list(results), out, page)
 
 
 @main.command()
 @FILE
 def check(file: Path) -> None:
-    """Say what FILE would start, and whether bounds refuse it."""
+    """Print what FILE would start, and whether it exceeds its limits."""
     with _exit_codes():
         experiment = read_experiment(file)
         swept = [
@@ -206,17 +213,17 @@
 
 @main.command()
 @FILE
-@click.option("--seed", type=int, default=1, show_default=True, help="Of the first variant.")
-@click.option("--count", type=click.IntRange(1), default=12, show_default=True, help="How many variants.")
+@click.option("--seed", type=int, default=1, show_default=True, help="Seed of the first variant.")
+@click.option("--count", type=click.IntRange(1), default=12, show_default=True, help="Number of variants.")
 @click.option(
     "--out",
     type=click.Path(path_type=Path, file_okay=False),
     default=Path("build/sites"),
     show_default=True,
-    help="Where the site files go.",
+    help="Directory for site files.",
 )
 def sites(file: Path, seed: int, count: int, out: Path) -> None:
-    """Draw deployments: variants of the site FILE, one for each seed, in what operators may choose."""
+    """Write random variants of the site FILE, one for each seed, in what operators may choose."""
     with _exit_codes():
         for path in write_variants(file, range(seed, seed + count), out):
             click.echo(str(path))
@@ -226,14 +233,14 @@
 @FILE
 @click.argument("seed", type=int)
 def module(file: Path, seed: int) -> None:
-    """Measure the module by itself; the runner starts this in a process of its own."""
+    """Measure the decision module alone; the runner starts this in a process of its own."""
     experiment = msgspec.json.decode(file.read_bytes(), type=Experiment)
-    roles = _part("fleetlab.module_costs").measure(experiment, seed)
+    roles = _load("fleetlab.module_costs").measure(experiment, seed)
     click.echo(msgspec.json.encode(Message(roles=roles)))
 
 
-def _part(name: str) -> Any:
-    """A part that only some commands need."""
+def _load(name: str) -> Any:
+    """Import a module that only some commands need."""
     return importlib.import_module(name)
 
 
--- a/tests/test_lab_deployments.py
+++ b/tests/test_lab_deployments.py
@@ -8,7 +8,7 @@
 import pytest
 from click.testing import CliRunner
 
-from fleetlab.cli import BAD_FILE, main
+from fleetlab.cli import EXIT_INVALID_FILE, main
 from fleetlab.deployments import DeploymentError, read_site, vary, write_variants
 
 BASE = Path(__file__).parent.parent / "deploy" / "sites" / "hasty-counter.toml"
@@ -70,7 +70,7 @@
     with pytest.raises(DeploymentError, match=said):
         write_variants(path, range(1), tmp_path / "drawn")
     result = CliRunner().invoke(main, ["sites", str(path), "--out", str(tmp_path / "drawn")])
-    assert result.exit_code == BAD_FILE and said in result.stderr
+    assert result.exit_code == EXIT_INVALID_FILE and said in result.stderr
 
 
 def test_the_command_names_what_it_wrote(tmp_path: Path) -> None:
