--- a/tests/test_lab_deployments.py
+++ b/tests/test_lab_deployments.py
@@ -1,4 +1,4 @@
-"""Drawn deployments: what varies, that a seed gives one and the same, and what a bad file says."""
+"""Drawn deployments: what varies, that a seed determines its variant, and the errors for invalid files."""
 
 from __future__ import annotations
 
@@ -15,20 +15,20 @@
 SEEDS = range(1, 61)
 
 
-def test_a_seed_gives_one_variant_and_leaves_the_base_alone() -> None:
+def test_a_seed_determines_its_variant_and_the_base_is_not_modified() -> None:
     base = read_site(BASE)
     assert vary(base, 3) == vary(base, 3) != vary(base, 4)
     assert base == read_site(BASE)
 
 
-def test_variants_stay_within_the_ranges_that_the_pages_name() -> None:
+def test_variants_stay_within_the_documented_ranges() -> None:
     for site in (vary(read_site(BASE), seed) for seed in SEEDS):
         assert 1 <= site["allow"]["max_attempts"] <= 8
         assert 40 <= site["allow"]["cpu_ms_per_s"] <= 500
         assert 500 <= site["rules"]["drain_grace_ms"] <= 2500
         for name in ("same_ms", "cross_ms", "client_ms"):
-            least, most = site["net"][name]
-            assert 0.07 <= least <= most <= 20
+            low, high = site["net"][name]
+            assert 0.07 <= low <= high <= 20
         for tier in site["tier"]:
             assert 2 <= tier["conn"]["idle_s"] <= 30 and 1 <= tier["conn"]["streams"] <= 128
         for request_class in site["class"]:
@@ -47,7 +47,7 @@
         assert {s["allow"][name] for s in sites} == {True, False}
 
 
-def test_no_two_names_of_a_variant_are_alike() -> None:
+def test_names_within_a_variant_are_unique() -> None:
     for site in (vary(read_site(BASE), seed) for seed in SEEDS):
         names = [c["name"] for c in site["class"]]
         names += [kind["name"] for tier in site["tier"] for kind in tier["kind"]]
@@ -55,7 +55,7 @@
         assert len(set(site["net"]["zones"])) == len(read_site(BASE)["net"]["zones"])
 
 
-def test_variants_are_written_with_the_files_beside_the_base(tmp_path: Path) -> None:
+def test_variants_are_written_with_copies_of_the_files_beside_the_base(tmp_path: Path) -> None:
     paths = write_variants(BASE, range(5, 7), tmp_path / "drawn")
     assert [p.name for p in paths] == ["hasty-counter-5.toml", "hasty-counter-6.toml"]
     assert tomllib.loads(paths[0].read_text()) == vary(read_site(BASE), 5)
@@ -63,17 +63,19 @@
         assert (tmp_path / "drawn" / name).read_bytes() == (BASE.parent / name).read_bytes()
 
 
-@pytest.mark.parametrize(("text", "said"), [("name = ", "site file in TOML"), ("name = 'x'", "add it")])
-def test_a_file_that_is_no_site_says_what_to_do(tmp_path: Path, text: str, said: str) -> None:
+@pytest.mark.parametrize(("text", "message"), [("name = ", "site file in TOML"), ("name = 'x'", "add it")])
+def test_the_error_for_an_invalid_site_file_says_how_to_correct_it(
+    tmp_path: Path, text: str, message: str
+) -> None:
     path = tmp_path / "x.toml"
     path.write_text(text)
-    with pytest.raises(DeploymentError, match=said):
+    with pytest.raises(DeploymentError, match=message):
         write_variants(path, range(1), tmp_path / "drawn")
     result = CliRunner().invoke(main, ["sites", str(path), "--out", str(tmp_path / "drawn")])
-    assert result.exit_code == EXIT_INVALID_FILE and said in result.stderr
+    assert result.exit_code == EXIT_INVALID_FILE and message in result.stderr
 
 
-def test_the_command_names_what_it_wrote(tmp_path: Path) -> None:
+def test_the_command_prints_the_paths_that_it_wrote(tmp_path: Path) -> None:
     result = CliRunner().invoke(
         main, ["sites", str(BASE), "--seed", "7", "--count", "2", "--out", str(tmp_path)]
     )
--- a/tests/test_lab_experiment.py
+++ b/tests/test_lab_experiment.py
@@ -1,4 +1,4 @@
-"""What an experiment file may say, and the points and files of its sweep."""
+"""The checks of experiment files, and the points and result files of sweeps."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 LAB = Path(__file__).parent.parent / "lab"
 
 
-def written(tmp_path: Path, text: str) -> Path:
+def write_file(tmp_path: Path, text: str) -> Path:
     path = tmp_path / "file.toml"
     path.write_text(text)
     return path
 
 
 @pytest.mark.parametrize(
-    ("text", "key", "wanted"),
+    ("text", "key", "expected"),
     [
         ("name = 'x", "", "expected TOML"),
         ("seconds = 3", "name", "required key is missing"),
@@ -50,14 +50,14 @@
         ("name = 'x'\n[sweep]\ntogether = true\naxes = {seed = [1], settle = []}", "sweep.axes", "as many"),
     ],
 )
-def test_an_error_names_file_key_and_what_was_wanted(
-    text: str, key: str, wanted: str, tmp_path: Path
+def test_an_error_names_the_file_the_key_and_what_was_expected(
+    text: str, key: str, expected: str, tmp_path: Path
 ) -> None:
-    path = written(tmp_path, text)
+    path = write_file(tmp_path, text)
     with pytest.raises(ExperimentError) as raised:
         read_experiment(path)
     assert str(raised.value).startswith(f"{path}: {key}: " if key else f"{path}: ")
-    assert wanted.lower() in str(raised.value).lower()
+    assert expected.lower() in str(raised.value).lower()
 
 
 def test_a_missing_file_is_named(tmp_path: Path) -> None:
@@ -66,48 +66,58 @@
 
 
 @pytest.mark.parametrize("path", sorted(LAB.glob("*.toml")), ids=lambda p: p.stem)
-def test_the_files_of_the_laboratory_are_read(path: Path) -> None:
+def test_the_experiments_of_the_repository_are_valid(path: Path) -> None:
     assert read_experiment(path).name == path.stem
 
 
-def test_a_point_replaces_numbers_and_leaves_the_experiment() -> None:
+def test_at_point_replaces_numbers_in_a_copy() -> None:
     experiment = Experiment(name="x", faults=[Fault(kind="restart", at=1.0)])
-    there = at_point(experiment, {"fleet.hollow": 230.0, "requests.rate": 3, "faults.0.at": 2.5, "seed": 7})
-    assert (there.fleet.hollow, there.requests.rate, there.faults[0].at, there.seed) == (230, 3, 2.5, 7)
-    assert type(there.fleet.hollow) is int
+    changed = at_point(experiment, {"fleet.hollow": 230.0, "requests.rate": 3, "faults.0.at": 2.5, "seed": 7})
+    assert (changed.fleet.hollow, changed.requests.rate, changed.faults[0].at, changed.seed) == (
+        230,
+        3,
+        2.5,
+        7,
+    )
+    assert type(changed.fleet.hollow) is int
     assert experiment == Experiment(name="x", faults=[Fault(kind="restart", at=1.0)])
     for key in ("fleet", "name", "faults.1.at", "faults.at", "fleet.hollow.x", ""):
         with pytest.raises(ExperimentError, match="no such number"):
             at_point(experiment, {key: 1})
 
 
-def test_axes_go_by_themselves_or_together(tmp_path: Path) -> None:
+def test_axes_vary_on_their_own_or_in_step(tmp_path: Path) -> None:
     text = "name = 'x'\nseed = 5\n[sweep]\nplays = 2\naxes = {'fleet.hollow' = [1, 2], 'seconds' = [3, 4]}"
-    alone = read_experiment(written(tmp_path, text))
-    assert sweep_points(alone) == [{"fleet.hollow": 1}, {"fleet.hollow": 2}, {"seconds": 3}, {"seconds": 4}]
-    together = read_experiment(written(tmp_path, text + "\ntogether = true"))
-    assert sweep_points(together) == [{"fleet.hollow": 1, "seconds": 3}, {"fleet.hollow": 2, "seconds": 4}]
+    separate = read_experiment(write_file(tmp_path, text))
+    assert sweep_points(separate) == [
+        {"fleet.hollow": 1},
+        {"fleet.hollow": 2},
+        {"seconds": 3},
+        {"seconds": 4},
+    ]
+    in_step = read_experiment(write_file(tmp_path, text + "\ntogether = true"))
+    assert sweep_points(in_step) == [{"fleet.hollow": 1, "seconds": 3}, {"fleet.hollow": 2, "seconds": 4}]
     assert sweep_points(Experiment(name="x")) == [{}]
-    names = [path.name for _, _, path in sweep_plays(alone, tmp_path, [1, 2])]
+    names = [path.name for _, _, path in sweep_plays(separate, tmp_path, [1, 2])]
     assert names == [
         "x-fleet.hollow-2-s5.json",
         "x-seconds-3-s5.json",
         "x-fleet.hollow-2-s6.json",
         "x-seconds-3-s6.json",
     ]
-    assert result_filename(alone, {}, 9) == "x-s9.json"
+    assert result_filename(separate, {}, 9) == "x-s9.json"
 
 
-def test_points_are_chosen_by_number_and_range() -> None:
+def test_points_are_selected_by_number_and_range() -> None:
     assert select_points([], 3) == [0, 1, 2]
     assert select_points(["2..3", "5.."], 6) == [1, 2, 4, 5]
     assert select_points(["..2", "1"], 6) == [0, 1]
-    for wrong in ("0", "7", "x", "3..2", "1..9"):
+    for invalid in ("0", "7", "x", "3..2", "1..9"):
         with pytest.raises(ValueError, match="expected"):
-            select_points([wrong], 6)
+            select_points([invalid], 6)
 
 
-def test_a_play_that_was_broken_off_is_not_done(tmp_path: Path) -> None:
+def test_a_result_that_is_missing_or_broken_off_is_not_complete(tmp_path: Path) -> None:
     path = tmp_path / "r.json"
     assert not is_complete(path)
     result = Result(Experiment(name="x"), 1, "c", False, "", "", Machine("", 1, 1, ""), broken_off=True)
