--- a/tests/test_lab_hollow.py
+++ b/tests/test_lab_hollow.py
@@ -1,4 +1,4 @@
-"""The model of many routers, the costs of one, and hollow routers over real sockets."""
+"""The fleet model, the costs of one instance, and hollow routers over real sockets."""
 
 from __future__ import annotations
 
@@ -28,44 +28,45 @@
 SERVERS = [entry(f"s{i}", zone="ab"[i % 2]) for i in range(6)]
 
 
-# The model
+# The fleet model
 
 
-def test_a_sample_of_listeners_hears_all_that_others_tell() -> None:
+def test_a_sample_of_listeners_receives_all_messages_of_the_others() -> None:
     fleet = FleetModel(CONF, 12, SERVERS, siblings=36, listeners=3)
     fleet.run(2.0, 600.0, zipf_weights(50))
-    told, heard = Counter[int](), Counter[int]()
+    sent, received = Counter[int](), Counter[int]()
     for (number, _), count in fleet.messages_out.items():
-        told[number] += count
+        sent[number] += count
     for (number, _), count in fleet.messages_in.items():
-        heard[number] += count
-    assert len(fleet.listeners) == 3 and set(heard) == set(fleet.listeners)
-    assert all(heard[n] == told.total() - told[n] for n in fleet.listeners)
+        received[number] += count
+    assert len(fleet.listeners) == 3 and set(received) == set(fleet.listeners)
+    assert all(received[n] == sent.total() - sent[n] for n in fleet.listeners)
     arrived = fleet.event_counts["peer"]
-    assert 0 <= heard.total() - arrived <= 3  # what is still on the way
-    assert sum(m for m, _ in fleet.fleet_traffic(range(100, 102))) == 3 * told.total()  # one stands for three
+    assert 0 <= received.total() - arrived <= 3  # the rest is still queued
+    # each simulated router stands for three
+    assert sum(m for m, _ in fleet.fleet_traffic(range(100, 102))) == 3 * sent.total()
     assert sum(b for _, b in fleet.fleet_traffic(range(100, 102))) == 3 * sum(map(len, fleet.messages))
 
 
-def outcomes(fleet: FleetModel) -> list[api.Outcome]:
-    """All outcomes that routers are told from now on, in order."""
+def record_outcomes(fleet: FleetModel) -> list[api.Outcome]:
+    """Record all outcomes that routers receive from now on, in order."""
     seen: list[api.Outcome] = []
 
-    def keep(feed: Callable[[int, api.Event], None], number: int, event: api.Event) -> None:
+    def record(dispatch: Callable[[int, api.Event], None], number: int, event: api.Event) -> None:
         seen.extend([event] if isinstance(event, api.Outcome) else [])
-        feed(number, event)
+        dispatch(number, event)
 
-    vars(fleet)["dispatch"] = lambda number, event, feed=fleet.dispatch: keep(feed, number, event)
+    vars(fleet)["dispatch"] = lambda number, event, dispatch=fleet.dispatch: record(dispatch, number, event)
     return seen
 
 
-def test_a_lost_server_is_silent_first_and_then_can_not_be_reached() -> None:
+def test_attempts_at_a_lost_server_time_out_once_and_then_fail_to_connect() -> None:
     fleet = FleetModel(settings(max_attempts=1), 1, [entry("a")], run_timers=True)
-    seen = outcomes(fleet)
+    seen = record_outcomes(fleet)
     fleet.fail(["a"])
     fleet.run(2.0, 5.0, [1.0])
-    ends = Counter(o.status for o in seen)
-    assert ends[api.Status.TIMEOUT] == 1 and ends[api.Status.CONNECT_FAILED] >= 1
+    statuses = Counter(o.status for o in seen)
+    assert statuses[api.Status.TIMEOUT] == 1 and statuses[api.Status.CONNECT_FAILED] >= 1
     assert all(o.latency == CONF.dial_timeout for o in seen if o.status is api.Status.CONNECT_FAILED)
     assert fleet.finished["served"] == 0 < fleet.finished["failed"]
     fleet.recover(["a"])
@@ -73,7 +74,7 @@
     assert fleet.finished["served"] > 5
 
 
-def test_what_is_under_way_at_a_server_that_vanishes_times_out() -> None:
+def test_attempts_in_flight_at_a_server_that_goes_down_time_out() -> None:
     fleet = FleetModel(settings(max_attempts=1), 1, [entry("a")])
     fleet.request_keys["r"], fleet.request_deadlines["r"] = "k", fleet.now + 1.0
     fleet.dispatch(0, api.Request("r", "read", 1.0, "k"))
@@ -83,17 +84,17 @@
     assert isinstance(event, api.Outcome) and event.status is api.Status.TIMEOUT and not event.closed
 
 
-def test_routers_that_vanished_are_asked_and_told_nothing() -> None:
+def test_lost_routers_receive_neither_requests_nor_messages() -> None:
     fleet = FleetModel(CONF, 4, SERVERS)
     fleet.run(1.0, 200.0, zipf_weights(50))
     fleet.fail([], [0])
-    before, heard = fleet.routers[0].taken, sum(c for (n, _), c in fleet.messages_in.items() if n == 0)
+    requests, received = fleet.routers[0].taken, sum(c for (n, _), c in fleet.messages_in.items() if n == 0)
     fleet.run(1.0, 200.0, zipf_weights(50))
-    assert fleet.routers[0].taken == before
-    assert sum(c for (n, _), c in fleet.messages_in.items() if n == 0) == heard
+    assert fleet.routers[0].taken == requests
+    assert sum(c for (n, _), c in fleet.messages_in.items() if n == 0) == received
 
 
-def test_shared_rings_are_those_of_each_router_alone() -> None:
+def test_shared_rings_equal_those_built_without_sharing() -> None:
     drained = api.ServerList(api.ListKind.DELTA, (replace(SERVERS[2], state=api.State.DRAINING),))
 
     def rings() -> list[tuple[list[int], list[str], list[float]]]:
@@ -108,16 +109,16 @@
                 found.append((list(ring.positions), owners, list(ring.ranks)))
         return found
 
-    alone = rings()
+    unshared = rings()
     with shared_rings():
-        assert rings() == alone
-    assert rings() == alone
+        assert rings() == unshared
+    assert rings() == unshared
 
 
-# The costs of one
+# The costs of one instance
 
 
-def test_costs_of_one_instance_at_a_tiny_size(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_costs_of_one_instance_are_measured(monkeypatch: pytest.MonkeyPatch) -> None:
     for name in ("WARM_UP_S", "STEADY_S", "TIMED_S"):
         monkeypatch.setattr(module_costs, name, 1)
     experiment = lab.Experiment(
@@ -144,8 +145,8 @@
 
 
 @dataclass(frozen=True)
-class Gone:
-    """A server that is down from a time on."""
+class DownFrom:
+    """A server that goes down at `start` and stays down."""
 
     start: float
 
@@ -160,61 +161,61 @@
 
 
 @dataclass(frozen=True)
-class Away:
-    """A router that is gone for a while."""
+class FakeAbsence:
+    """A router that is down from `start` to `end`."""
 
     router: int
     start: float
     end: float
 
 
-class Registry:
-    """Discovery: tells the first call of each router of a drain, and then nothing; keeps who asked what."""
+class FakeDiscovery:
+    """Discovery that answers each router's first watch with a drain, and no later one; records the calls."""
 
     def __init__(self, plan: Plan) -> None:
         self.plan = plan
-        self.asked: list[tuple[int, str]] = []
-        self.over = asyncio.Event()
+        self.calls: list[tuple[int, str]] = []
+        self.closing = asyncio.Event()
 
     async def start(self) -> list[asyncio.Server]:
         def serve(number: int) -> Callable[[asyncio.StreamReader, asyncio.StreamWriter], object]:
             return lambda reader, writer: self.answer(number, reader, writer)
 
-        places = [address_of(self.plan.addresses.discovery(n)) for n in self.plan.hollow]
-        pairs = zip(self.plan.hollow, places, strict=True)
-        return [await asyncio.start_server(serve(n), *place) for n, place in pairs]  # type: ignore[arg-type]
+        addresses = [address_of(self.plan.addresses.discovery(n)) for n in self.plan.hollow]
+        pairs = zip(self.plan.hollow, addresses, strict=True)
+        return [await asyncio.start_server(serve(n), *address) for n, address in pairs]  # type: ignore[arg-type]
 
     async def answer(self, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         target = (await reader.readuntil(b"\r\n\r\n")).decode().split()[1]
-        self.asked.append((number, target))
+        self.calls.append((number, target))
         if "after=1&" in target:
-            lines = [server_entry(self.plan, 1, status="terminating")]
-            writer.write(http("200 OK", orjson.dumps({"index": 2, "snapshot": False, "endpoints": lines})))
+            entries = [server_entry(self.plan, 1, status="terminating")]
+            writer.write(http("200 OK", orjson.dumps({"index": 2, "snapshot": False, "endpoints": entries})))
         else:
-            await self.over.wait()
+            await self.closing.wait()
         writer.close()
 
 
-class Between(asyncio.DatagramProtocol):
-    """The network: what comes to the address of all goes to every other router, from its sender's place."""
+class Network(asyncio.DatagramProtocol):
+    """Relays datagrams for all peers to every other router, from the sender's advertised address."""
 
     def __init__(self, plan: Plan) -> None:
         addresses = plan.addresses
-        self.told: list[bytes] = []
+        self.messages: list[bytes] = []
         self.targets = {address_of(addresses.peer_listen(n)): n for n in plan.hollow}
-        self.places = {n: socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for n in plan.hollow}
-        for number, place in self.places.items():
-            place.bind(address_of(addresses.peer_advertised(number)))
+        self.sockets = {n: socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for n in plan.hollow}
+        for number, sock in self.sockets.items():
+            sock.bind(address_of(addresses.peer_advertised(number)))
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        self.told.append(data)
+        self.messages.append(data)
         for target in self.targets:
             if target != addr:
-                self.places[self.targets[addr]].sendto(data, target)
+                self.sockets[self.targets[addr]].sendto(data, target)
 
 
-def plan_of(**fleet: int) -> Plan:
-    """A plan on loopback addresses that no other test process uses."""
+def make_plan(**fleet: int) -> Plan:
+    """Return a plan on loopback addresses that no other test process uses."""
     net = 20 + os.getpid() % 200
     with socket.socket() as free:
         free.bind((f"127.{net}.0.1", 0))
@@ -230,43 +231,43 @@
 
 
 def play(
-    plan: Plan, schedule: hollow.Schedule, done: Callable[[Registry, list[bytes]], bool]
+    plan: Plan, schedule: hollow.Schedule, done: Callable[[FakeDiscovery, list[bytes]], bool]
 ) -> dict[str, Role]:
-    """Play hollow routers until something has come about; the roles at the end."""
-    found: dict[str, Role] = {}
+    """Run hollow routers until `done` returns true. Returns their roles."""
+    roles: dict[str, Role] = {}
 
     async def scenario() -> None:
-        registry, between = Registry(plan), Between(plan)
-        servers = await registry.start()
+        discovery, network = FakeDiscovery(plan), Network(plan)
+        servers = await discovery.start()
         loop = asyncio.get_running_loop()
-        began: asyncio.Future[float] = loop.create_future()
+        schedule_start: asyncio.Future[float] = loop.create_future()
         ended = asyncio.Event()
         transport, _ = await loop.create_datagram_endpoint(
-            lambda: between, local_addr=address_of(plan.addresses.peers_all())
+            lambda: network, local_addr=address_of(plan.addresses.peers_all())
         )
         part = asyncio.create_task(
-            hollow.run(plan, lambda: began.set_result(time.time()), began, ended, schedule)
+            hollow.run(plan, lambda: schedule_start.set_result(time.time()), schedule_start, ended, schedule)
         )
-        while not part.done() and not done(registry, between.told):
+        while not part.done() and not done(discovery, network.messages):
             await asyncio.sleep(0.02)
         ended.set()
-        found.update(await part)
-        registry.over.set()
+        roles.update(await part)
+        discovery.closing.set()
         transport.close()
         for server in servers:
             server.close()
             await server.wait_closed()
-        for place in between.places.values():
-            place.close()
+        for sock in network.sockets.values():
+            sock.close()
 
     run(scenario)
-    return found
+    return roles
 
 
-def test_hollow_routers_hear_discovery_and_each_other() -> None:
-    plan = plan_of(full=1)
+def test_hollow_routers_call_discovery_and_exchange_messages() -> None:
+    plan = make_plan(full=1)
     roles = play(
-        plan, hollow.Schedule(), lambda r, told: len(told) > 20 and len({n for n, _ in r.asked}) == 2
+        plan, hollow.Schedule(), lambda d, messages: len(messages) > 20 and len({n for n, _ in d.calls}) == 2
     )
     assert set(roles) == {"hollow", "full", "lab"}
     for name, role in roles.items():
@@ -282,27 +283,29 @@
     assert roles["full"].metrics["rate.request"].value > roles["hollow"].metrics["rate.request"].value
 
 
-def test_a_router_that_was_gone_asks_again_and_lost_servers_serve_nothing() -> None:
-    plan = plan_of()
-    lives: dict[int, hollow.Life] = {n: Gone(0.0) for n in range(4)}
-    schedule = hollow.Schedule(lives, [Away(1, 0.5, 0.8)])
-    first = "/registry/instances?after=1&wait_ms=3000"
-    roles = play(plan, schedule, lambda r, told: r.asked.count((1, first)) == 2)
+def test_a_restarted_router_calls_discovery_again_and_lost_servers_serve_nothing() -> None:
+    plan = make_plan()
+    lives: dict[int, hollow.Life] = {n: DownFrom(0.0) for n in range(4)}
+    schedule = hollow.Schedule(lives, [FakeAbsence(1, 0.5, 0.8)])
+    first_call = "/registry/instances?after=1&wait_ms=3000"
+    roles = play(plan, schedule, lambda d, messages: d.calls.count((1, first_call)) == 2)
     metrics = roles["hollow"].metrics
     assert metrics["calls"].value > 0 and metrics["bytes.in.discovery"].value > 0
     assert metrics["cpu.us.change"].value > 0 and metrics["cpu.us.call"].value > 0
-    assert metrics["served"].value < 0.2  # but for writes, which go to the origin
+    assert metrics["served"].value < 0.2  # only writes, which go to the origin
 
 
-def test_faults_are_seen_from_the_routers_zone() -> None:
-    schedule = hollow.Schedule({1: Gone(5.0)}, partitioned=lambda zone, other, at: zone != other and at > 3)
+def test_server_states_depend_on_the_zone_of_the_router() -> None:
+    schedule = hollow.Schedule(
+        {1: DownFrom(5.0)}, partitioned=lambda zone, other, at: zone != other and at > 3
+    )
     assert schedule.server_state(1, 0, 1, 2.0) == "up"
     assert schedule.server_state(1, 0, 1, 4.0) == "lost" and schedule.server_state(1, 1, 1, 4.0) == "up"
     assert schedule.server_state(1, 1, 1, 6.0) == "lost"
 
 
-def test_the_address_of_a_server_tells_its_number() -> None:
-    process = hollow.HollowProcess(plan_of(), hollow.Schedule())
+def test_server_numbers_follow_from_addresses() -> None:
+    process = hollow.HollowProcess(make_plan(), hollow.Schedule())
     addresses = process.plan.addresses
     assert [process.server_number(addresses.server(n)) for n in (3, 300)] == [3, 300]
     assert process.server_number(addresses.origin()) is None
