--- a/fleetlab/hollow.py
+++ b/fleetlab/hollow.py
@@ -322,8 +322,8 @@
         seed = self.random.getrandbits(32)
         host = self.host = HollowHost(settings, seed, pool, self._subscribe)
         host.router = MeteredRouter(settings, seed, host.clock.now(), self.meter)
-        told, failed = self._list_received, self._list_failed
-        self.discovery = Discovery(self.address, process.index, told, failed)
+        on_list, on_failure = self._list_received, self._list_failed
+        self.discovery = Discovery(self.address, process.index, on_list, on_failure)
         host.list_told(api.ListKind.SAVED, process.members)
         if not settings.subscribe:
             self.discovery.subscribe()  # pushed lists arrive by the same calls
