--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -1,5 +1,5 @@
 """Re-exports the laboratory's model of a fleet for the tests."""
 
-from fleetlab.model import LATENCY, Fleet, zipf
+from fleetlab.model import LATENCY_S, FleetModel, zipf_weights
 
-__all__ = ["LATENCY", "Fleet", "zipf"]
+__all__ = ["LATENCY_S", "FleetModel", "zipf_weights"]
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -11,13 +11,13 @@
 from brackenwalk import interface as api
 from brackenwalk import ring
 from tests.driver import entry, settings
-from tests.fleet import Fleet, zipf
+from tests.fleet import FleetModel, zipf_weights
 
 LOAD = 0.5  # share of the warm servers' capacity that clients' requests take
 CONF = settings(may_gossip=True, cold_share=0.13, ramp=23.0, overload_factor=3.0, overload_window=1.5)
 
 
-def worst_load(fleet: Fleet, cold: list[api.ServerEntry], fair: float) -> float:
+def worst_load(fleet: FleetModel, cold: list[api.ServerEntry], fair: float) -> float:
     """Return the fullest window of any cold server, as a share of the load that overloads it at its age."""
     worst = 0.0
     for server in cold:
@@ -44,9 +44,9 @@
     def run(self) -> tuple[float, float]:
         """Return the worst window of all cold servers, and the share of the requests that is served."""
         old = [entry(f"old{i}", zone="abc"[i % 3]) for i in range(self.servers)]
-        fleet = Fleet(CONF, self.routers, old)
-        fleet.heard = self.messages
-        keys = zipf(20 * self.servers)
+        fleet = FleetModel(CONF, self.routers, old)
+        fleet.deliver_messages = self.messages
+        keys = zipf_weights(20 * self.servers)
         fleet.run(0.6, self.rate, keys)
         new = [entry(f"new{i}", zone="abc"[i % 3], started_at=fleet.now - 0.3) for i in range(self.cold)]
         listed = old[: self.servers - self.cold] + new
@@ -54,10 +54,12 @@
             if number < self.killed * self.routers:
                 fleet.restart(number, listed)
             else:
-                fleet.feed(number, api.ServerList(api.ListKind.FULL, tuple(listed)))
-        fleet.ended.clear()
+                fleet.dispatch(number, api.ServerList(api.ListKind.FULL, tuple(listed)))
+        fleet.finished.clear()
         fleet.run(1.6, self.rate, keys)
-        return worst_load(fleet, new, self.rate / self.servers), fleet.ended["served"] / fleet.ended.total()
+        return worst_load(fleet, new, self.rate / self.servers), fleet.finished[
+            "served"
+        ] / fleet.finished.total()
 
 
 @pytest.mark.parametrize(
@@ -84,12 +86,14 @@
 
 def test_where_all_servers_are_cold_the_excess_is_told_to_retry_later() -> None:
     """With no warm server left, all requests went to cold ones: eight times their capacity."""
-    fleet = Fleet(replace(CONF, max_retry_after=2.0), 40, [entry("old")])
+    fleet = FleetModel(replace(CONF, max_retry_after=2.0), 40, [entry("old")])
     cold = [entry(f"new{i}", started_at=fleet.now) for i in range(20)]
     for number in range(40):
-        fleet.feed(number, api.ServerList(api.ListKind.FULL, tuple(cold)))
-    fleet.run(1.6, 2000.0, zipf(400))
+        fleet.dispatch(number, api.ServerList(api.ListKind.FULL, tuple(cold)))
+    fleet.run(1.6, 2000.0, zipf_weights(400))
     assert worst_load(fleet, cold, 2000.0 / 20) <= 0.75
-    assert 0.1 < fleet.ended["served"] / fleet.ended.total() < 0.4
-    assert min(fleet.pauses) >= 0.75 and max(fleet.pauses) <= 1.5
-    assert max(fleet.pauses) - min(fleet.pauses) > 0.5  # spread, so that retries do not come all at once
+    assert 0.1 < fleet.finished["served"] / fleet.finished.total() < 0.4
+    assert min(fleet.retry_afters) >= 0.75 and max(fleet.retry_afters) <= 1.5
+    assert (
+        max(fleet.retry_afters) - min(fleet.retry_afters) > 0.5
+    )  # spread, so that retries do not come all at once
