--- a/fleetlab/cli.py
+++ b/fleetlab/cli.py
@@ -166,7 +166,7 @@
 def report(results: tuple[Path, ...], out: Path, page: Path | None) -> None:
     """Make slopes, plots and tables from RESULTS: result files, summaries, or folders of these."""
     with _exit_codes():
-        _part("fleetlab.report").make(list(results), out, page)
+        _part("fleetlab.report").write_report(list(results), out, page)
 
 
 @main.command()
--- a/fleetlab/hollow.py
+++ b/fleetlab/hollow.py
@@ -50,11 +50,11 @@
 class Life(Protocol):
     """What becomes of a server; times are seconds from the start of the schedule."""
 
-    def up(self, at: float) -> bool: ...
+    def is_up(self, at: float) -> bool: ...
 
-    def hanging(self, at: float) -> bool: ...
+    def is_hanging(self, at: float) -> bool: ...
 
-    def started(self, at: float) -> float | None: ...
+    def start_time(self, at: float) -> float | None: ...
 
 
 class Absence(Protocol):
@@ -86,25 +86,25 @@
     def state(self, server: int, router_zone: int, server_zone: int, at: float) -> str:
         """`up`, `hang` or `lost`, as a router of a zone sees a server."""
         life = self.lives.get(server)
-        if self.cut(router_zone, server_zone, at) or (life is not None and not life.up(at)):
+        if self.cut(router_zone, server_zone, at) or (life is not None and not life.is_up(at)):
             return "lost"
-        return "hang" if life is not None and life.hanging(at) else "up"
+        return "hang" if life is not None and life.is_hanging(at) else "up"
 
     def warmth(self, server: int, at: float, cold: float, ramp: float) -> float:
         """Share of its usual hits that a server has, for its age."""
         life = self.lives.get(server)
-        began = life.started(at) if life is not None else None
+        began = life.start_time(at) if life is not None else None
         return 1.0 if began is None else min(1.0, cold + (1 - cold) * (at - began) / max(ramp, 1e-3))
 
 
 def schedule_of(plan: Plan) -> Schedule:
     """The schedule that all parts share."""
     shared: Any = importlib.import_module("fleetlab.standins.schedule")
-    cuts = shared.cuts(plan)
+    cuts = shared.partitions(plan)
     return Schedule(
-        shared.server_events(plan),
-        shared.router_events(plan),
-        lambda one, other, at: bool(shared.cut_between(cuts, one, other, at)),
+        shared.server_timelines(plan),
+        shared.router_outages(plan),
+        lambda one, other, at: bool(shared.is_partitioned(cuts, one, other, at)),
     )
 
 
--- a/fleetlab/report.py
+++ b/fleetlab/report.py
@@ -20,7 +20,7 @@
 DECISION = "decision.md"
 
 
-def make(results: list[Path], out: Path, page: Path | None, lab: Path = LAB) -> None:
+def write_report(results: list[Path], out: Path, page: Path | None, lab: Path = LAB) -> None:
     """Write `slopes.json`, `measured.json`, `summary.md` and plots into `out`, and the page if one is named.
 
     `results` are result files, earlier `measured.json` files, or folders of both; `lab` holds the sizes and
--- a/fleetlab/runner.py
+++ b/fleetlab/runner.py
@@ -155,7 +155,7 @@
 def router_events(plan: Plan) -> Sequence[Gone]:
     """Which routers are away and when, as all workers derive it from the same plan."""
     schedule: Any = importlib.import_module("fleetlab.standins.schedule")
-    return cast(Sequence[Gone], schedule.router_events(plan))
+    return cast(Sequence[Gone], schedule.router_outages(plan))
 
 
 def router_seed(seed: int, number: int, start: int) -> str:
--- a/fleetlab/standins/caches.py
+++ b/fleetlab/standins/caches.py
@@ -19,8 +19,16 @@
 
 from fleetlab.plan import Plan
 from fleetlab.results import Metric, Role
-from fleetlab.standins.course import Meter, Step, go, host_port, reset, spread
-from fleetlab.standins.schedule import Cut, Life, cut_between, cuts, server_events, warm_capacity, warmth
+from fleetlab.standins.lifecycle import Meter, Step, go, host_port, reset, spread
+from fleetlab.standins.schedule import (
+    Partition,
+    ServerTimeline,
+    is_partitioned,
+    partitions,
+    server_timelines,
+    warm_capacity,
+    warmup_share,
+)
 
 SIGMA = 0.4  # of the lognormal times about their median
 VALUE = 200  # bytes of a value, with the id that it begins with
@@ -136,11 +144,11 @@
 class Server:
     """One cache server."""
 
-    def __init__(self, farm: Farm, life: Life) -> None:
+    def __init__(self, farm: Farm, timeline: ServerTimeline) -> None:
         self.farm = farm
-        self.life = life
-        self.address = farm.plan.addresses.server(life.number)
-        self.zone = life.number % farm.plan.experiment.fleet.zones
+        self.timeline = timeline
+        self.address = farm.plan.addresses.server(timeline.number)
+        self.zone = timeline.number % farm.plan.experiment.fleet.zones
         self.listening: asyncio.Server | None = None
         self.links: dict[Link, None] = {}
         self.hanging = False
@@ -192,14 +200,14 @@
         farm, counts, at = self.farm, self.farm.meter.counts, self.farm.now()
         experiment = farm.plan.experiment
         counts["requests"] += 1
-        if cut_between(farm.cuts, self.zone, zone_of_request(parts[2], experiment.fleet.zones), at):
+        if is_partitioned(farm.partitions, self.zone, zone_of_request(parts[2], experiment.fleet.zones), at):
             counts["cut"] += 1  # says nothing, also later
             return
-        started = self.life.started(at)
-        capacity = farm.capacity * warmth(farm.plan, started, at)
+        started = self.timeline.start_time(at)
+        capacity = farm.capacity * warmup_share(farm.plan, started, at)
         if started is not None and at < started + experiment.ramp:
             self.count_cold(at, capacity)
-        if at >= self.life.drains + experiment.drain_grace or not self.bucket.take(
+        if at >= self.timeline.drain_start + experiment.drain_grace or not self.bucket.take(
             farm.loop.time(), capacity
         ):
             counts["busy"] += 1
@@ -239,9 +247,9 @@
         self.meter = Meter()
         self.random = Random(f"caches {plan.seed}")
         self.capacity = warm_capacity(plan, real_only=True)
-        self.cuts: list[Cut] = cuts(plan)
+        self.partitions: list[Partition] = partitions(plan)
         self.zero = math.inf  # the schedule's start on the loop's clock
-        self.servers = {n: Server(self, life) for n, life in server_events(plan).items()}
+        self.servers = {n: Server(self, timeline) for n, timeline in server_timelines(plan).items()}
         self.meter.gauges["connections"] = self.look
         self.connections: list[list[int]] = []
         self.opening: set[asyncio.Task[None]] = set()
@@ -267,7 +275,7 @@
     async def up(self) -> None:
         """Open the servers that are there at the start."""
         for server in self.servers.values():
-            if server.life.runs[0].start < 0:
+            if server.timeline.uptimes[0].start < 0:
                 await server.up()
 
     def start_server(self, server: Server) -> None:
@@ -280,10 +288,10 @@
         self.zero = self.loop.time()  # called as it begins
         steps: list[Step] = []
         for server in self.servers.values():
-            for began in [r.start for r in server.life.runs if r.start >= 0]:
+            for began in [r.start for r in server.timeline.uptimes if r.start >= 0]:
                 steps.append((began, partial(self.start_server, server)))
-            steps += [(r.end, server.down) for r in server.life.runs if r.end < math.inf]
-            for hang, resume in server.life.hangs:
+            steps += [(r.end, server.down) for r in server.timeline.uptimes if r.end < math.inf]
+            for hang, resume in server.timeline.hangs:
                 steps += [(hang, server.hang), (resume, server.resume)]
         return steps
 
@@ -300,7 +308,7 @@
             metrics[name] = meter.rate(name)
         flat = [n for counts in self.connections for n in counts]
         metrics["connections"] = spread([float(n) for n in flat], "connections")
-        cold = [s for s in self.servers.values() if any(r.start >= 0 for r in s.life.runs)]
+        cold = [s for s in self.servers.values() if any(r.start >= 0 for r in s.timeline.uptimes)]
         if cold:
             fullest = [s.fullest for s in cold]
             metrics["cold.window"] = Metric(max(fullest), "share", min(fullest), max(fullest), len(fullest))
--- a/fleetlab/standins/clients.py
+++ b/fleetlab/standins/clients.py
@@ -19,8 +19,8 @@
 
 from fleetlab.plan import Plan, settings_of
 from fleetlab.results import Metric, Role
-from fleetlab.standins.course import Meter, Step, go, host_port, percentiles
-from fleetlab.standins.schedule import router_events
+from fleetlab.standins.lifecycle import Meter, Step, go, host_port, percentiles
+from fleetlab.standins.schedule import router_outages
 
 RETRIES = 2  # after a refusal
 PAUSE = 0.05  # before a retry, where the refusal names no time
@@ -284,7 +284,7 @@
         """Begin all streams; the front knows of planned restarts."""
         for router in self.routers:
             self.spawn(self.stream(router, start))
-        ends = [a for a in router_events(self.plan) if a.kind == "restart" and a.router < len(self.routers)]
+        ends = [a for a in router_outages(self.plan) if a.kind == "restart" and a.router < len(self.routers)]
         return [(a.start + HANDED, self.routers[a.router].ends) for a in ends]
 
     def role(self) -> Role:
--- a/fleetlab/standins/discovery.py
+++ b/fleetlab/standins/discovery.py
@@ -24,8 +24,15 @@
 
 from fleetlab.plan import Plan, first_list
 from fleetlab.results import Metric, Role
-from fleetlab.standins.course import Meter, Step, go, host_port, percentiles, reset, spread
-from fleetlab.standins.schedule import TOLD, Absence, Change, downtimes, list_changes, router_events
+from fleetlab.standins.lifecycle import Meter, Step, go, host_port, percentiles, reset, spread
+from fleetlab.standins.schedule import (
+    PROPAGATION_S,
+    ListChange,
+    RouterOutage,
+    discovery_downtimes,
+    list_changes,
+    router_outages,
+)
 
 CONTINUES = 0.2  # seconds after an answer within which the next call goes on with the watch
 LAPSED = 2.0  # seconds within which a call that is too late for that is counted as such
@@ -54,11 +61,11 @@
         self.index: int = message["index"]
         self.oldest = self.index  # from which on changes can be told
         self.entries: dict[str, dict[str, Any]] = {e["name"]: e for e in message["endpoints"]}
-        self.changes: dict[int, Change] = {}
+        self.changes: dict[int, ListChange] = {}
         self.had: dict[int, float] = {}  # Unix time of each version
         self.encoded: dict[int | None, tuple[bytes, int]] = {}
 
-    def publish(self, change: Change) -> None:
+    def publish(self, change: ListChange) -> None:
         """The next version."""
         self.index += 1
         self.had[self.index] = time.time()
@@ -202,7 +209,7 @@
         self.force = array("d")
         self.missed = 0
         self.start = 0.0
-        self.absences: dict[int, list[Absence]] = {}
+        self.absences: dict[int, list[RouterOutage]] = {}
         self.meter.gauges["calls.waiting"] = lambda: float(len(self.queue))
 
     async def up(self) -> None:
@@ -324,7 +331,7 @@
         gone = self.absences.get(router, ())
         return any(self.start + a.start <= end and start <= self.start + a.end for a in gone)
 
-    def publish(self, change: Change) -> None:
+    def publish(self, change: ListChange) -> None:
         self.versions.publish(change)
         for link in list(self.watches):
             self._tell(link)
@@ -333,14 +340,14 @@
         """What happens in the schedule, from its Unix time."""
         self.start = start
         plan = msgspec.structs.replace(self.plan, began=start)
-        for absence in router_events(plan):
+        for absence in router_outages(plan):
             self.absences.setdefault(absence.router, []).append(absence)
         self.start_waiting, self.most_waiting = self.most_waiting, len(self.queue)
         self.bytes_in, self.bytes_out = [0] * len(self.told), [0] * len(self.told)
         steps: list[Step] = []
         for change in list_changes(plan):
             steps.append((change.at, lambda change=change: self.publish(change)))  # type: ignore[misc]
-        for down, up in downtimes(plan):
+        for down, up in discovery_downtimes(plan):
             steps += [(down, self.down), (up, self.back)]
         return steps
 
@@ -350,7 +357,7 @@
         for router, told in enumerate(self.told):
             for version in range(told + 1, self.versions.index + 1):
                 had = self.versions.had[version]
-                if self.heard[router] and now - had > TOLD and not self.absent(router, had, now):
+                if self.heard[router] and now - had > PROPAGATION_S and not self.absent(router, had, now):
                     self.missed += 1
                     self.force.append(now - had)
         self.role = self._role()
--- a/fleetlab/standins/network.py
+++ b/fleetlab/standins/network.py
@@ -18,8 +18,8 @@
 
 from fleetlab.plan import Plan, listeners
 from fleetlab.results import Metric, Role
-from fleetlab.standins.course import Meter, Step, go, host_port
-from fleetlab.standins.schedule import Cut, cut_between, cuts, loss_at
+from fleetlab.standins.lifecycle import Meter, Step, go, host_port
+from fleetlab.standins.schedule import Partition, is_partitioned, loss_share_at, partitions
 
 LONGEST = 256  # bytes of a datagram
 AT_ONCE = 64  # datagrams read before others get their turn
@@ -43,7 +43,7 @@
         self.everyone = self._socket(addresses.everyone(), BUFFER)
         self.seen = [self._socket(addresses.peer_seen(n)) for n in range(count)]
         self.loss = plan.experiment.network.loss
-        self.cuts: list[Cut] = cuts(plan)
+        self.partitions: list[Partition] = partitions(plan)
         self.zero = math.inf
         self.overruns_before = 0
         self._choose(-math.inf)
@@ -70,7 +70,7 @@
     def _choose(self, at: float) -> None:
         """Whether anything at all may happen to a datagram from this moment of the schedule on."""
         network = self.plan.experiment.network
-        self.cut = any(c.start <= at < c.end for c in self.cuts)
+        self.cut = any(c.start <= at < c.end for c in self.partitions)
         self.plain = not (self.cut or self.loss or network.doubled or network.late_ms or network.garbled)
 
     def _read(self, ours: socket.socket, receiver: int | None) -> None:
@@ -114,7 +114,7 @@
         network, random = self.plan.experiment.network, self.random
         zones = self.zones[sender], self.zones[receiver]
         if random.random() < self.loss or (
-            self.cut and cut_between(self.cuts, *zones, self.loop.time() - self.zero)
+            self.cut and is_partitioned(self.partitions, *zones, self.loop.time() - self.zero)
         ):
             self.meter.counts["dropped"] += 1
             return
@@ -154,7 +154,7 @@
         return [(moment, partial(self._change, moment)) for moment in moments]
 
     def _change(self, moment: float) -> None:
-        self.loss = loss_at(self.plan, moment)
+        self.loss = loss_share_at(self.plan, moment)
         self._choose(moment)
 
     def role(self) -> Role:
--- a/fleetlab/standins/origin.py
+++ b/fleetlab/standins/origin.py
@@ -14,8 +14,8 @@
 from fleetlab.plan import Plan
 from fleetlab.results import Role
 from fleetlab.standins.caches import ID, SIGMA, Bucket, value_for, zone_of_request
-from fleetlab.standins.course import Meter, Step, go, host_port, reset
-from fleetlab.standins.schedule import cut_between, cuts
+from fleetlab.standins.lifecycle import Meter, Step, go, host_port, reset
+from fleetlab.standins.schedule import is_partitioned, partitions
 
 SLOWER = 3.0  # than a cache server, usually
 ROOM = 3.0  # times what comes while all cache servers are warm
@@ -115,7 +115,7 @@
         share = min(1.0, requests.writes + (1 - requests.hits))
         self.capacity = ROOM * share * plan.experiment.fleet.real * requests.rate
         self.bucket = Bucket(self.loop.time())
-        self.cuts = cuts(plan)
+        self.partitions = partitions(plan)
         self.zero = math.inf
         self.meter.gauges["connections"] = lambda: float(len(self.links))
 
@@ -124,7 +124,7 @@
         counts, now = self.meter.counts, self.loop.time()
         counts["requests"] += 1
         zone = zone_of_request(identity, self.plan.experiment.fleet.zones)
-        if cut_between(self.cuts, 0, zone, now - self.zero):  # it stands in the first zone
+        if is_partitioned(self.partitions, 0, zone, now - self.zero):  # it stands in the first zone
             counts["cut"] += 1
         elif not self.bucket.take(now, self.capacity):
             counts["busy"] += 1
--- a/tests/test_lab_hollow.py
+++ b/tests/test_lab_hollow.py
@@ -149,13 +149,13 @@
 
     start: float
 
-    def up(self, at: float) -> bool:
+    def is_up(self, at: float) -> bool:
         return at < self.start
 
-    def hanging(self, at: float) -> bool:
+    def is_hanging(self, at: float) -> bool:
         return False
 
-    def started(self, at: float) -> float | None:
+    def start_time(self, at: float) -> float | None:
         return None
 
 
--- a/tests/test_lab_report.py
+++ b/tests/test_lab_report.py
@@ -157,7 +157,7 @@
     cut = Fault(kind="region_cut", at=1.0, lasts=5.0)
     paths.append(play(tmp_path / "r", (40, 13), 1, {"hollow": {"force.max": 4.5}}, name="cut", faults=[cut]))
     page = tmp_path / "CAPACITY.md"
-    report.make(paths, tmp_path / "out", page)
+    report.write_report(paths, tmp_path / "out", page)
     text = page.read_text()
     passed = text.split("## Lines that pass")[1].split("Within their limit")[0]
     ratios = [float(line.split("**")[1].replace(",", "")) for line in passed.splitlines() if "**" in line]
@@ -195,7 +195,7 @@
         tmp_path / "r", (80, 60), 1, {"module": {"cpu.control": 1.0}}, name="grow_before"
     )  # not played after
     page = tmp_path / "CAPACITY.md"
-    report.make([tmp_path / "r"], tmp_path / "out", page)
+    report.write_report([tmp_path / "r"], tmp_path / "out", page)
     text = page.read_text()
     rows = text.split("## Before and after")[1].split("## What goes first")[0]
     start = "| control, quiet, share of a core | 40 / 60 | "
@@ -218,7 +218,7 @@
         (1.0, 1)
     ]
     for results in (tmp_path / "r", tmp_path / "out"):
-        report.make([results], tmp_path / "out", tmp_path / "page.md")
+        report.write_report([results], tmp_path / "out", tmp_path / "page.md")
         text = (tmp_path / "page.md").read_text()
         assert "2 plays left out" in text and "- grow-40-13-2.json: hollow routers made 0.75 of the" in text
         assert (
@@ -228,7 +228,7 @@
 
 def test_nothing_measured_is_said_so(tmp_path: Path) -> None:
     page = tmp_path / "CAPACITY.md"
-    report.make([], tmp_path / "out", page)
+    report.write_report([], tmp_path / "out", page)
     text = page.read_text()
     assert "None: nothing has been measured." in text
     cells = [c.strip() for line in text.splitlines() if line.startswith("| ") for c in line.split("|")]
@@ -244,9 +244,9 @@
     paths = grow(tmp_path / "r", lambda r, s, seed: {"hollow": figures(r, s, seed)["hollow"]}, 2)
     paths.append(play(tmp_path / "r", (400, 13), 1, {}, broken_off=True))
     first, again, both = (tmp_path / n for n in ("first", "again", "both"))
-    report.make(paths, first, first / "page.md", lab)
-    report.make([first / "measured.json"], again, again / "page.md", lab)
-    report.make([first, tmp_path / "r"], both, both / "page.md", lab)  # a play met twice counts once
+    report.write_report(paths, first, first / "page.md", lab)
+    report.write_report([first / "measured.json"], again, again / "page.md", lab)
+    report.write_report([first, tmp_path / "r"], both, both / "page.md", lab)  # a play met twice counts once
     for name in ("page.md", "measured.json", "slopes.json", "summary.md"):
         assert (first / name).read_bytes() == (again / name).read_bytes() == (both / name).read_bytes()
     assert "First {{this}}, \\1 then that." in (first / "page.md").read_text()
--- a/tests/test_lab_standins.py
+++ b/tests/test_lab_standins.py
@@ -42,9 +42,9 @@
     server_name,
 )
 from fleetlab.results import Role
-from fleetlab.standins import caches, clients, course, discovery, network, origin
+from fleetlab.standins import caches, clients, discovery, lifecycle, network, origin
 from fleetlab.standins import schedule as sched
-from fleetlab.standins.course import host_port
+from fleetlab.standins.lifecycle import host_port
 
 ID = b"0000aaaabbbbcccc"
 WAIT = 8.0  # seconds, far more than anything here takes
@@ -143,8 +143,8 @@
 ) -> None:
     experiment = ex.Experiment(name="x", faults=faults, fleet=ex.Fleet(servers=7, zones=2))
     plan = Plan("discovery", experiment, Addresses(5, 1000), seed, began=1000.0)
-    changes, lives = sched.list_changes(plan), sched.server_events(plan)
-    assert (changes, lives) == (sched.list_changes(plan), sched.server_events(plan))
+    changes, lives = sched.list_changes(plan), sched.server_timelines(plan)
+    assert (changes, lives) == (sched.list_changes(plan), sched.server_timelines(plan))
     assert [c.at for c in changes] == sorted({c.at for c in changes})
     listed = {e["name"]: e for e in first_list(plan)["endpoints"] if e["type"] == "cache"}
     for change in changes:
@@ -152,10 +152,10 @@
             listed[entry["name"]] = entry
     end = 1e6  # all is over by then
     serving = {n for n, e in listed.items() if e["status"] == "in_service"}
-    assert serving == {server_name(n) for n, life in lives.items() if life.up(end)}
+    assert serving == {server_name(n) for n, life in lives.items() if life.is_up(end)}
     for number, life in lives.items():
-        started = life.started(end)
-        if life.up(end):
+        started = life.start_time(end)
+        if life.is_up(end):
             since = listed[server_name(number)]["since_ms"]
             assert since == (0 if started is None else int((1000 + started) * 1000))
 
@@ -167,24 +167,24 @@
     ]
     fleet = ex.Fleet(real=4, hollow=40, servers=40)
     plans = [plan_of(seed=s, faults=faults, fleet=fleet) for s in range(4)]
-    lost = [{n for n, life in sched.server_events(p).items() if not life.up(2)} for p in plans]
-    gone = [{a.router for a in sched.router_events(p)} for p in plans]
+    lost = [{n for n, life in sched.server_timelines(p).items() if not life.is_up(2)} for p in plans]
+    gone = [{a.router for a in sched.router_outages(p)} for p in plans]
     assert all(len(x) == 3 for x in lost + gone)
     assert len({frozenset(x) for x in lost}) > 1 and len({frozenset(x) for x in gone}) > 1
 
 
 def test_a_replaced_server_drains_and_the_new_one_is_cold() -> None:
     plan = plan_of(faults=[ex.Fault(kind="servers_change", at=2.0)])
-    lives, changes = sched.server_events(plan), sched.list_changes(plan)
-    old = next(n for n, life in lives.items() if life.drains == 2.0)
+    lives, changes = sched.server_timelines(plan), sched.list_changes(plan)
+    old = next(n for n, life in lives.items() if life.drain_start == 2.0)
     new = next(n for n in lives if n >= 4)
     assert new % 2 == old % 2  # of the same zone
     assert [e["status"] for c in changes for e in c.entries] == ["terminating", "in_service", "terminated"]
-    assert sched.warmth(plan, lives[old].started(3.0), 3.0) == 1.0
+    assert sched.warmup_share(plan, lives[old].start_time(3.0), 3.0) == 1.0
     cold, ramp = plan.experiment.cold_share, plan.experiment.ramp
-    assert sched.warmth(plan, lives[new].started(2.0), 2.0) == pytest.approx(cold)
-    assert sched.warmth(plan, 2.0, 2.0 + ramp / 2) == pytest.approx((1 + cold) / 2)
-    assert sched.warmth(plan, 2.0, 2.0 + ramp) == pytest.approx(1.0)
+    assert sched.warmup_share(plan, lives[new].start_time(2.0), 2.0) == pytest.approx(cold)
+    assert sched.warmup_share(plan, 2.0, 2.0 + ramp / 2) == pytest.approx((1 + cold) / 2)
+    assert sched.warmup_share(plan, 2.0, 2.0 + ramp) == pytest.approx(1.0)
 
 
 def test_late_lists_stay_in_order() -> None:
@@ -345,8 +345,8 @@
             ex.Fault(kind="servers_hang", at=0.05, lasts=0.6, count=1),
         ]
         plan = plan_of("caches", requests=ex.Requests(hits=1.0, latency_ms=1.0), faults=faults)
-        lives = sched.server_events(plan)
-        lost = next(n for n, life in lives.items() if not life.up(0.1))
+        lives = sched.server_timelines(plan)
+        lost = next(n for n, life in lives.items() if not life.is_up(0.1))
         hung = next(n for n, life in lives.items() if life.hangs)
         assert lost != hung
         async with Stage(caches.run, plan) as stage:
@@ -533,10 +533,10 @@
 
 
 def test_percentiles_are_near_and_entries_have_the_form() -> None:
-    found = course.percentiles("x", [0.001 * n for n in range(1, 1001)], (50, 99))
+    found = lifecycle.percentiles("x", [0.001 * n for n in range(1, 1001)], (50, 99))
     assert found["x.p50"].value == pytest.approx(0.5, rel=0.01)
     assert found["x.p99"].value == pytest.approx(0.99, rel=0.01)
-    assert found["x.max"].value == 1.0 and course.percentiles("x", [], (50,)) == {}
+    assert found["x.max"].value == 1.0 and lifecycle.percentiles("x", [], (50,)) == {}
     index, whole, members = read_list(
         {"index": 1, "snapshot": True, "endpoints": [entry_of(plan_of(), 1, 5, "terminated", 0.9)]}
     )
