--- a/fleetlab/standins/schedule.py
+++ b/fleetlab/standins/schedule.py
@@ -1,7 +1,8 @@
-"""What the experiment's faults do and when, derived from the plan alone.
+"""The schedule of an experiment's faults: what they do to which servers and routers, and when.
 
-All parties derive the same from the same plan (and seed), so that discovery, cache servers, the hollow
-routers' model and the network agree without talking. Times are seconds from the start of the schedule.
+Every process derives the same schedule from the same plan and seed, so discovery, the cache servers, the
+hollow routers and the network agree without exchanging messages. Times are seconds from the start of the
+schedule.
 """
 
 from __future__ import annotations
@@ -15,15 +16,15 @@
 from fleetlab.experiment import Fault
 from fleetlab.plan import Plan, entry_of, server_name
 
-LOSS_DETECTION_S = 1.0  # seconds until discovery has noticed that a server is gone
-PROPAGATION_S = 6.0  # whatever discovery has to tell counts as told by then (PROTOCOL, Figures)
-RESTART_S = 3.7  # at most, from SIGTERM to the end of what a router had taken (PROTOCOL, Figures)
-UTILIZATION_SHARE = 0.5  # of all capacity, while all servers are warm
+LOSS_DETECTION_S = 1.0  # until discovery notices that a server is gone
+PROPAGATION_S = 6.0  # by then every router is expected to have a published change (PROTOCOL, Figures)
+RESTART_S = 3.7  # longest drain: from SIGTERM until a router has answered what it took (PROTOCOL, Figures)
+UTILIZATION_SHARE = 0.5  # share of the cache servers' total capacity in use while all of them are warm
 
 
 @dataclass(frozen=True, slots=True)
 class ListChange:
-    """A version of the list: when discovery has it, and the entries that changed, in discovery's form."""
+    """One version of the server list: when discovery publishes it, and the changed entries as listed."""
 
     at: float
     entries: tuple[dict[str, Any], ...]
@@ -31,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Uptime:
-    """A server's life from one start to its end; one from before the schedule is warm."""
+    """A period during which a server runs; a server that was up before the schedule began is warm."""
 
     start: float = -math.inf
     end: float = math.inf
@@ -39,32 +40,37 @@
 
 @dataclass(slots=True)
 class ServerTimeline:
-    """What becomes of one server number."""
+    """When the server with this number is up, hangs and drains."""
 
     number: int
     uptimes: list[Uptime] = field(default_factory=lambda: [Uptime()])
     hangs: list[tuple[float, float]] = field(default_factory=list)
-    drain_start: float = math.inf  # when it is first listed as terminating
+    drain_start: float = math.inf  # when it becomes terminating
 
     def uptime_at(self, at: float) -> Uptime | None:
-        """The run that it is in; None while it is down."""
-        return next((r for r in self.uptimes if r.start <= at < r.end), None)
+        """Return the uptime that covers a time; None while the server is down."""
+        return next((u for u in self.uptimes if u.start <= at < u.end), None)
 
     def is_up(self, at: float) -> bool:
+        """Whether the server process exists at a time, hanging or not."""
         return self.uptime_at(at) is not None
 
     def is_hanging(self, at: float) -> bool:
+        """Whether the server accepts connections and bytes at a time but answers nothing."""
         return any(start <= at < end for start, end in self.hangs)
 
     def start_time(self, at: float) -> float | None:
-        """When the run that it is in began; None where it is down or began before the schedule."""
-        run = self.uptime_at(at)
-        return None if run is None or run.start == -math.inf else run.start
+        """When the current uptime began; None if the server is down or was up before the schedule."""
+        uptime = self.uptime_at(at)
+        return None if uptime is None or uptime.start == -math.inf else uptime.start
 
 
 @dataclass(frozen=True, slots=True)
 class RouterOutage:
-    """A router is gone; one that restarts has RESTART seconds to be back, and is back when it is."""
+    """A period without a router.
+
+    For a restart, `end` is the latest expected return (`RESTART_S`); the router may be back earlier.
+    """
 
     router: int
     kind: Literal["restart", "lost"]
@@ -74,7 +80,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Partition:
-    """Zone `zone` and the others do not reach one another."""
+    """A period during which zone `zone` and all other zones cannot reach each other."""
 
     zone: int
     start: float
@@ -83,7 +89,7 @@
 
 @dataclass(slots=True)
 class _ListUpdate:
-    """Something that discovery will list."""
+    """A change of one server's entry, at the time of its cause."""
 
     at: float
     number: int
@@ -93,21 +99,19 @@
 
 
 class _ServerFaults:
-    """Plays the faults on the servers, in order of time."""
+    """Applies the faults to the servers in chronological order."""
 
     def __init__(self, plan: Plan) -> None:
         self.plan = plan
         count = plan.experiment.fleet.servers
         self.timelines = {n: ServerTimeline(n) for n in range(count)}
-        self.available_from = dict.fromkeys(range(count), 0.0)  # from when on another fault may meet it
+        self.available_from = dict.fromkeys(range(count), 0.0)  # when another fault may select the server
         self.weights = dict.fromkeys(range(count), 1.0)
         self.updates: list[_ListUpdate] = []
-        events = [
-            event for f, fault in enumerate(plan.experiment.faults) for event in _fault_times(plan, f, fault)
-        ]
-        for at, fault, rng in sorted(events, key=lambda event: event[0]):
+        events = [e for i, fault in enumerate(plan.experiment.faults) for e in _fault_times(plan, i, fault)]
+        for at, fault, rng in sorted(events, key=lambda e: e[0]):
             self.apply(at, fault, rng)
-        self.updates.sort(key=lambda n: n.at)
+        self.updates.sort(key=lambda update: update.at)
 
     def apply(self, at: float, fault: Fault, rng: Random) -> None:
         pool = [n for n, available in self.available_from.items() if available <= at]
@@ -116,7 +120,7 @@
                 self.replace(at, number)
         elif fault.kind == "changes":
             for number in _sample(rng, pool, 1):
-                # near 1, as capacities stay what they were
+                # close to 1, because the stand-ins' capacities do not follow their weights
                 weights = [w for w in (0.9, 0.95, 1.0, 1.05, 1.1) if w != self.weights[number]]
                 self.weights[number] = rng.choice(weights)
                 self.add_update(at, number, "in_service", self.timelines[number].start_time(at))
@@ -136,19 +140,23 @@
         self.updates.append(_ListUpdate(at, number, status, self.weights[number], started_at))
 
     def take_down(self, at: float, number: int, lasts: float) -> None:
-        timeline, back = self.timelines[number], at + lasts
+        timeline, back_at = self.timelines[number], at + lasts
         started_at = timeline.start_time(at)
-        timeline.uptimes[-1:] = [Uptime(timeline.uptimes[-1].start, at), Uptime(back)]
-        self.available_from[number] = back
+        timeline.uptimes[-1:] = [Uptime(timeline.uptimes[-1].start, at), Uptime(back_at)]
+        self.available_from[number] = back_at
         if lasts > LOSS_DETECTION_S:
             self.add_update(at + LOSS_DETECTION_S, number, "terminated", started_at)
-        self.add_update(back, number, "in_service", back)
+        self.add_update(back_at, number, "in_service", back_at)
 
     def replace(self, at: float, number: int) -> None:
-        """The old one drains and ends when nobody can have sent it anything in good faith any more."""
+        """Start a new server and drain the old one.
+
+        The old one stops after the propagation time and the drain grace, when no router that follows the
+        protocol can still be sending to it.
+        """
         experiment, zones = self.plan.experiment, self.plan.experiment.fleet.zones
         new = number + zones
-        while new < experiment.fleet.servers or new in self.timelines:  # of the same zone, and never used
+        while new < experiment.fleet.servers or new in self.timelines:  # an unused number in the same zone
             new += zones
         old, started_at = self.timelines[number], self.timelines[number].start_time(at)
         end = at + PROPAGATION_S + experiment.drain_grace
@@ -164,11 +172,11 @@
 
 
 def _fault_times(plan: Plan, index: int, fault: Fault) -> Iterable[tuple[float, Fault, Random]]:
-    """The moments of one fault; its random numbers don't depend on the other faults."""
+    """The times at which a fault acts; its random numbers do not depend on the other faults."""
     rng = Random(f"{plan.seed} {index} {fault.kind}")
-    is_spread = fault.kind in ("servers_change", "changes", "restart")
-    times = fault.count if is_spread else 1
-    return [(fault.at + fault.lasts * i / times, fault, rng) for i in range(times)]
+    repeats = fault.kind in ("servers_change", "changes", "restart")  # `count` times, evenly over `lasts`
+    repetitions = fault.count if repeats else 1
+    return [(fault.at + fault.lasts * i / repetitions, fault, rng) for i in range(repetitions)]
 
 
 def _sample(rng: Random, pool: list[int], count: int) -> list[int]:
@@ -176,27 +184,27 @@
 
 
 def server_timelines(plan: Plan) -> dict[int, ServerTimeline]:
-    """For each server number that is ever used: when it is up, drains, hangs, and started (cold)."""
+    """Return the timeline of every server number that is ever used; one that starts later starts cold."""
     return _ServerFaults(plan).timelines
 
 
 def lag_at(plan: Plan, at: float) -> float:
-    """Seconds until discovery has what happens at this time."""
-    late = [f for f in plan.experiment.faults if f.kind == "lists_late" and f.at <= at < f.at + f.lasts]
-    return plan.experiment.discovery.lag + sum(f.count for f in late)
+    """Return the seconds after which discovery publishes something that happens at this time."""
+    active = [f for f in plan.experiment.faults if f.kind == "lists_late" and f.at <= at < f.at + f.lasts]
+    return plan.experiment.discovery.lag + sum(f.count for f in active)
 
 
 def list_changes(plan: Plan) -> list[ListChange]:
-    """The versions of the list after the first, in order; the first of them is version 2.
+    """Return the versions of the list after the first one, in order, beginning with version 2.
 
-    `plan.began` must be the Unix time at which the schedule begins, as `since_ms` is told on that clock.
-    What happens first is listed first, also when the lag has shrunk meanwhile.
+    `plan.began` must be the Unix time at which the schedule begins, because `since_ms` is Unix time. Changes
+    are published in the order in which they happen, even if the lag shrinks in between.
     """
     versions: list[tuple[float, dict[str, dict[str, Any]]]] = []
     last = -math.inf
     for update in _ServerFaults(plan).updates:
         at = max(last, update.at + lag_at(plan, update.at))
-        since = 0 if update.start_time is None else int((plan.began + update.start_time) * 1000)
+        since = 0 if update.started_at is None else int((plan.began + update.started_at) * 1000)
         entry = entry_of(plan, update.number, since, update.status, update.weight)
         if at > last:
             versions.append((at, {}))
@@ -206,14 +214,12 @@
 
 
 def router_outages(plan: Plan) -> list[RouterOutage]:
-    """Which routers, real and hollow alike, are gone, and when; in order of time."""
-    available = dict.fromkeys(range(plan.routers()), 0.0)
+    """Return the outages of all routers, real and hollow, ordered by their start."""
+    available_from = dict.fromkeys(range(plan.routers()), 0.0)
     outages: list[RouterOutage] = []
-    events = [
-        event for f, fault in enumerate(plan.experiment.faults) for event in _fault_times(plan, f, fault)
-    ]
-    for at, fault, rng in sorted(events, key=lambda event: event[0]):
-        pool = [n for n, back in available.items() if back <= at]
+    events = [e for i, fault in enumerate(plan.experiment.faults) for e in _fault_times(plan, i, fault)]
+    for at, fault, rng in sorted(events, key=lambda e: e[0]):
+        pool = [n for n, back_at in available_from.items() if back_at <= at]
         if fault.kind == "restart":
             chosen, end = _sample(rng, pool, 1), at + RESTART_S
         elif fault.kind == "router_lost":
@@ -224,37 +230,41 @@
         else:
             continue
         for number in chosen:
-            available[number] = end
+            available_from[number] = end
             outages.append(RouterOutage(number, "restart" if fault.kind == "restart" else "lost", at, end))
     return outages
 
 
 def partitions(plan: Plan) -> list[Partition]:
-    """When zones are cut off."""
+    """Return the network partitions of the schedule."""
     return [Partition(f.zone, f.at, f.at + f.lasts) for f in plan.experiment.faults if f.kind == "region_cut"]
 
 
 def is_partitioned(zone_partitions: list[Partition], one: int, other: int, at: float) -> bool:
-    """Whether two zones do not reach one another at a time."""
-    return any(c.start <= at < c.end and (one == c.zone) != (other == c.zone) for c in zone_partitions)
+    """Whether two zones cannot reach each other at a time."""
+    return any(p.start <= at < p.end and (one == p.zone) != (other == p.zone) for p in zone_partitions)
 
 
 def discovery_downtimes(plan: Plan) -> list[tuple[float, float]]:
-    """When discovery is down."""
+    """Return the periods during which discovery is down, each with its start and end."""
     return [(f.at, f.at + f.lasts) for f in plan.experiment.faults if f.kind == "discovery_down"]
 
 
 def loss_share_at(plan: Plan, at: float) -> float:
-    """Share of the datagrams that is lost at a time."""
-    kept = 1 - plan.experiment.network.loss
+    """Return the share of datagrams that the network loses at a time."""
+    delivered = 1 - plan.experiment.network.loss
     for fault in plan.experiment.faults:
         if fault.kind == "network" and fault.at <= at < fault.at + fault.lasts:
-            kept *= 1 - fault.loss
-    return 1 - kept
+            delivered *= 1 - fault.loss
+    return 1 - delivered
 
 
 def warm_capacity(plan: Plan, real_only: bool = False) -> float:
-    """Requests a second that a warm server can take: what all routers are asked, over servers and USE."""
+    """Return the requests per second that a warm server can take.
+
+    All servers together have the capacity for the routers' request rate at `UTILIZATION_SHARE`. With
+    `real_only` the rate is that of the real routers, else the hollow ones' is included.
+    """
     fleet, requests = plan.experiment.fleet, plan.experiment.requests
     rate = fleet.real * requests.rate
     if not real_only:
@@ -264,7 +274,7 @@
 
 
 def warmup_share(plan: Plan, started_at: float | None, at: float) -> float:
-    """The share of its warm capacity that a server has: from `cold_share` to 1 over `ramp`."""
+    """Return the share of its warm capacity that a server has: from `cold_share` to 1 over `ramp` seconds."""
     if started_at is None:
         return 1.0
     cold = plan.experiment.cold_share
