--- a/fleetlab/standins/caches.py
+++ b/fleetlab/standins/caches.py
@@ -19,7 +19,14 @@
 
 from fleetlab.plan import Plan
 from fleetlab.results import Metric, Role
-from fleetlab.standins.lifecycle import Meter, Step, go, host_port, reset, spread
+from fleetlab.standins.lifecycle import (
+    Meter,
+    TimedAction,
+    host_port,
+    mean_with_range,
+    reset_connection,
+    run_schedule,
+)
 from fleetlab.standins.schedule import (
     Partition,
     ServerTimeline,
@@ -170,7 +177,7 @@
             self.listening.close()
             self.listening = None
         for link in list(self.links):
-            reset(link.transport)
+            reset_connection(link.transport)
 
     def hang(self) -> None:
         self.hanging = True
@@ -233,7 +240,7 @@
         while recent[0] <= at - experiment.fall_window:
             recent.popleft()
         budget = experiment.fall_multiple * capacity * experiment.fall_window
-        if self.farm.meter.measuring:
+        if self.farm.meter.is_recording:
             self.fullest = max(self.fullest, len(recent) / budget if budget else math.inf)
             self.fullest_sent = max(self.fullest_sent, len(recent))
 
@@ -283,10 +290,10 @@
         self.opening.add(task)
         task.add_done_callback(self.opening.discard)
 
-    def steps(self, start: float) -> list[Step]:
+    def scheduled_actions(self, start: float) -> list[TimedAction]:
         """What happens to the servers in the schedule."""
         self.zero = self.loop.time()  # called as it begins
-        steps: list[Step] = []
+        steps: list[TimedAction] = []
         for server in self.servers.values():
             for began in [r.start for r in server.timeline.uptimes if r.start >= 0]:
                 steps.append((began, partial(self.start_server, server)))
@@ -307,14 +314,14 @@
         for name in ("requests", "hits", "misses", "busy", "writes", "syntax", "cut", "handshakes"):
             metrics[name] = meter.rate(name)
         flat = [n for counts in self.connections for n in counts]
-        metrics["connections"] = spread([float(n) for n in flat], "connections")
+        metrics["connections"] = mean_with_range([float(n) for n in flat], "connections")
         cold = [s for s in self.servers.values() if any(r.start >= 0 for r in s.timeline.uptimes)]
         if cold:
             fullest = [s.fullest for s in cold]
             metrics["cold.window"] = Metric(max(fullest), "share", min(fullest), max(fullest), len(fullest))
-            metrics["cold.window.sent"] = spread([float(s.fullest_sent) for s in cold], "requests")
+            metrics["cold.window.sent"] = mean_with_range([float(s.fullest_sent) for s in cold], "requests")
         metrics["capacity.warm"] = Metric(self.capacity, "1/s")
-        return Role(fleet.servers, metrics, dict(meter.seconds))
+        return Role(fleet.servers, metrics, dict(meter.per_second))
 
 
 async def run(
@@ -330,7 +337,7 @@
         roles["caches"] = farm.role()
 
     try:
-        await go(plan, began, ended, farm.meter, farm.steps, finish=finish)
+        await run_schedule(plan, began, ended, farm.meter, farm.scheduled_actions, finish=finish)
     finally:
         farm.down()
     return roles
--- a/fleetlab/standins/clients.py
+++ b/fleetlab/standins/clients.py
@@ -19,7 +19,7 @@
 
 from fleetlab.plan import Plan, settings_of
 from fleetlab.results import Metric, Role
-from fleetlab.standins.lifecycle import Meter, Step, go, host_port, percentiles
+from fleetlab.standins.lifecycle import Meter, TimedAction, host_port, percentiles, run_schedule
 from fleetlab.standins.schedule import router_outages
 
 RETRIES = 2  # after a refusal
@@ -280,7 +280,7 @@
         self.times.append(took)
         return "served" if took <= request.kind["aim"] else "late"
 
-    def steps(self, start: float) -> list[Step]:
+    def scheduled_actions(self, start: float) -> list[TimedAction]:
         """Begin all streams; the front knows of planned restarts."""
         for router in self.routers:
             self.spawn(self.stream(router, start))
@@ -299,7 +299,7 @@
             metrics[name] = Metric(counts[name], "events")
         metrics["open"] = Metric(counts["requests"] - total, "requests")
         metrics |= percentiles("latency", self.times, (50, 95, 99))
-        return Role(len(self.routers), metrics, dict(meter.seconds))
+        return Role(len(self.routers), metrics, dict(meter.per_second))
 
     def close(self) -> None:
         for task in list(self.tasks):
@@ -326,7 +326,7 @@
         await asyncio.sleep(ASK_AGAIN)
     ready()
     try:
-        await go(plan, began, ended, clients.meter, clients.steps)
-        return {"clients": clients.role()} if clients.meter.played else {}
+        await run_schedule(plan, began, ended, clients.meter, clients.scheduled_actions)
+        return {"clients": clients.role()} if clients.meter.elapsed_s else {}
     finally:
         clients.close()
--- a/fleetlab/standins/discovery.py
+++ b/fleetlab/standins/discovery.py
@@ -24,7 +24,15 @@
 
 from fleetlab.plan import Plan, first_list
 from fleetlab.results import Metric, Role
-from fleetlab.standins.lifecycle import Meter, Step, go, host_port, percentiles, reset, spread
+from fleetlab.standins.lifecycle import (
+    Meter,
+    TimedAction,
+    host_port,
+    mean_with_range,
+    percentiles,
+    reset_connection,
+    run_schedule,
+)
 from fleetlab.standins.schedule import (
     PROPAGATION_S,
     ListChange,
@@ -233,7 +241,7 @@
         self.meter.counts["calls.failed"] += sum(link.busy for link in self.links)
         for link in list(self.links):
             link.gone = True
-            reset(link.transport)
+            reset_connection(link.transport)
         self.watches.clear()
         self.queue.clear()
         self.answered = [float("-inf")] * len(self.answered)
@@ -336,7 +344,7 @@
         for link in list(self.watches):
             self._tell(link)
 
-    def steps(self, start: float) -> list[Step]:
+    def scheduled_actions(self, start: float) -> list[TimedAction]:
         """What happens in the schedule, from its Unix time."""
         self.start = start
         plan = msgspec.structs.replace(self.plan, began=start)
@@ -344,7 +352,7 @@
             self.absences.setdefault(absence.router, []).append(absence)
         self.start_waiting, self.most_waiting = self.most_waiting, len(self.queue)
         self.bytes_in, self.bytes_out = [0] * len(self.told), [0] * len(self.told)
-        steps: list[Step] = []
+        steps: list[TimedAction] = []
         for change in list_changes(plan):
             steps.append((change.at, lambda change=change: self.publish(change)))  # type: ignore[misc]
         for down, up in discovery_downtimes(plan):
@@ -363,7 +371,7 @@
         self.role = self._role()
 
     def _role(self) -> Role:
-        meter, played = self.meter, self.meter.played or 1.0
+        meter, elapsed_s = self.meter, self.meter.elapsed_s or 1.0
         metrics = {
             "cpu.share": meter.cpu(),
             "calls": meter.rate("calls"),
@@ -372,21 +380,21 @@
             "calls.waiting": Metric(float(self.most_waiting), "calls"),
             "calls.lapsed": meter.rate("calls.lapsed"),
             "calls.malformed": meter.rate("calls.malformed"),
-            "start.calls": Metric(meter.start_sums.get("calls", 0.0), "calls"),
-            "start.calls.turn": Metric(meter.start_sums.get("calls.turn", 0.0), "calls"),
-            "start.calls.failed": Metric(meter.start_sums.get("calls.failed", 0.0), "calls"),
+            "start.calls": Metric(meter.startup_totals.get("calls", 0.0), "calls"),
+            "start.calls.turn": Metric(meter.startup_totals.get("calls.turn", 0.0), "calls"),
+            "start.calls.failed": Metric(meter.startup_totals.get("calls.failed", 0.0), "calls"),
             "start.calls.waiting": Metric(float(self.start_waiting), "calls"),
             "force.missed": Metric(float(self.missed), "routers x versions"),
             "versions": Metric(float(self.versions.index - 1), "versions"),
         }
         real = self.plan.experiment.fleet.real
         for name, counted in (("in", self.bytes_in), ("out", self.bytes_out)):
-            rates = [n / played for n in counted]
-            metrics[f"bytes.{name}.discovery"] = spread(rates, "B/s")
-            metrics[f"bytes.{name}.discovery.real"] = spread(rates[:real], "B/s")
-            metrics[f"bytes.{name}.discovery.hollow"] = spread(rates[real:], "B/s")
+            rates = [n / elapsed_s for n in counted]
+            metrics[f"bytes.{name}.discovery"] = mean_with_range(rates, "B/s")
+            metrics[f"bytes.{name}.discovery.real"] = mean_with_range(rates[:real], "B/s")
+            metrics[f"bytes.{name}.discovery.hollow"] = mean_with_range(rates[real:], "B/s")
         metrics |= percentiles("force", self.force, (50, 99))
-        return Role(1, metrics, dict(meter.seconds))
+        return Role(1, metrics, dict(meter.per_second))
 
 
 async def run(
@@ -397,7 +405,9 @@
     await service.up()
     ready()
     try:
-        await go(plan, began, ended, service.meter, service.steps, finish=service.finish)
+        await run_schedule(
+            plan, began, ended, service.meter, service.scheduled_actions, finish=service.finish
+        )
     finally:
         service.down()
-    return {"discovery": service.role} if service.meter.played else {}
+    return {"discovery": service.role} if service.meter.elapsed_s else {}
--- a/fleetlab/standins/lifecycle.py
+++ b/fleetlab/standins/lifecycle.py
@@ -1,4 +1,4 @@
-"""The way every stand-in goes: up, the schedule with its figures for each second, and a little beyond."""
+"""What all stand-ins share: running the schedule, recording figures for each second, and shutting down."""
 
 from __future__ import annotations
 
@@ -14,46 +14,46 @@
 from fleetlab.plan import Plan
 from fleetlab.results import Metric
 
-LINGER = 3.0  # seconds for which stand-ins still serve after the schedule, so that others end in peace
-LONGEST = 3_600_000_000  # microseconds that a histogram holds
+LINGER_S = 3.0  # stand-ins go on serving after the schedule, so that other processes can end without errors
+HISTOGRAM_MAX_US = 3_600_000_000  # one hour; percentiles count longer times as this
 
-Step = tuple[float, Callable[[], object]]
+TimedAction = tuple[float, Callable[[], object]]
 
 
 def host_port(address: str) -> tuple[str, int]:
-    """Split `host:port`."""
+    """Split `host:port` into the host and the port number."""
     host, _, port = address.rpartition(":")
     return host, int(port)
 
 
-def reset(transport: asyncio.Transport) -> None:
-    """End a connection as a process that died would: with a reset."""
-    ours = transport.get_extra_info("socket")
-    if ours is not None and not transport.is_closing():
+def reset_connection(transport: asyncio.Transport) -> None:
+    """Close a connection with a TCP reset, as if the process had died; unsent data is lost."""
+    sock = transport.get_extra_info("socket")
+    if sock is not None and not transport.is_closing():
         with suppress(OSError):
-            ours.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
+            sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
     transport.abort()
 
 
 class Meter:
-    """Running counts and gauges; what each second of the schedule added, and the sums over it."""
+    """Counters and gauges, with their values in each second of the schedule and totals over all of it."""
 
     def __init__(self) -> None:
         self.counts: defaultdict[str, float] = defaultdict(float)
         self.gauges: dict[str, Callable[[], float]] = {}
-        self.seconds: defaultdict[str, list[float]] = defaultdict(list)
-        self.sums: dict[str, float] = {}
-        self.start_sums: dict[str, float] = {}
-        self.played = 0.0  # seconds
-        self.measuring = False
-
-    async def follow(self, start: float, seconds: float, ended: asyncio.Event) -> None:
-        """Measure from the Unix time `start` on, until the schedule or the process ends."""
-        self.start_sums = dict(self.counts)
+        self.per_second: defaultdict[str, list[float]] = defaultdict(list)
+        self.totals: dict[str, float] = {}
+        self.startup_totals: dict[str, float] = {}
+        self.elapsed_s = 0.0
+        self.is_recording = False
+
+    async def record(self, start: float, seconds: float, ended: asyncio.Event) -> None:
+        """Record each second from the Unix time `start` on, until the schedule ends or `ended` is set."""
+        self.startup_totals = dict(self.counts)
         before, base = dict(self.counts), dict(self.counts)
         cpu = first_cpu = time.process_time()
         began = time.time()
-        self.measuring = True
+        self.is_recording = True
         for second in range(1, max(1, round(seconds)) + 1):
             with suppress(TimeoutError):
                 async with asyncio.timeout(max(0.0, start + min(second, seconds) - time.time())):
@@ -61,72 +61,77 @@
             if ended.is_set():
                 break
             for name, value in self.counts.items():
-                line = self.seconds[name]
-                line.extend([0.0] * (second - 1 - len(line)))  # a count that begins late
-                line.append(value - before.get(name, 0.0))
+                series = self.per_second[name]
+                series.extend([0.0] * (second - 1 - len(series)))  # a counter that appeared after the start
+                series.append(value - before.get(name, 0.0))
             for name, gauge in self.gauges.items():
-                self.seconds[name].append(gauge())
+                self.per_second[name].append(gauge())
             now = time.process_time()
-            self.seconds["cpu.share"].append(now - cpu)
+            self.per_second["cpu.share"].append(now - cpu)
             cpu, before = now, dict(self.counts)
-        self.measuring = False
-        self.played = max(time.time() - began, 1e-3)
-        self.sums = {name: value - base.get(name, 0.0) for name, value in self.counts.items()}
-        self.sums["cpu"] = time.process_time() - first_cpu
+        self.is_recording = False
+        self.elapsed_s = max(time.time() - began, 1e-3)
+        self.totals = {name: value - base.get(name, 0.0) for name, value in self.counts.items()}
+        self.totals["cpu"] = time.process_time() - first_cpu
 
-    def sum(self, name: str) -> float:
-        return self.sums.get(name, 0.0)
+    def total(self, name: str) -> float:
+        """Return what a counter added over the schedule."""
+        return self.totals.get(name, 0.0)
 
     def rate(self, name: str, unit: str = "1/s") -> Metric:
-        """A count's mean over the schedule, a second; the range is that of whole seconds."""
-        line = self.seconds.get(name) or [0.0]
-        return Metric(self.sum(name) / (self.played or 1.0), unit, min(line), max(line), int(self.sum(name)))
+        """Return a counter's mean rate per second; the range is over single seconds."""
+        series = self.per_second.get(name) or [0.0]
+        return Metric(
+            self.total(name) / (self.elapsed_s or 1.0), unit, min(series), max(series), int(self.total(name))
+        )
 
     def cpu(self) -> Metric:
-        """The share of a core that the whole process used."""
-        line = self.seconds.get("cpu.share") or [0.0]
-        return Metric(self.sum("cpu") / (self.played or 1.0), "core", min(line), max(line), 1)
+        """Return the share of a core that the process used; the range is over single seconds."""
+        series = self.per_second.get("cpu.share") or [0.0]
+        return Metric(self.total("cpu") / (self.elapsed_s or 1.0), "core", min(series), max(series), 1)
 
 
-def percentiles(name: str, values: Iterable[float], shares: Sequence[float]) -> dict[str, Metric]:
-    """`NAME.p50` and so on, and `NAME.max`, of times in seconds; nothing where there are none."""
-    histogram = HdrHistogram(1, LONGEST, 3)
+def percentiles(name: str, values: Iterable[float], percents: Sequence[float]) -> dict[str, Metric]:
+    """Return `NAME.pN` for each percentile N, and `NAME.max`, of times in seconds; empty without times."""
+    histogram = HdrHistogram(1, HISTOGRAM_MAX_US, 3)
     low, high, count = float("inf"), 0.0, 0
     for value in values:
-        histogram.record_value(min(LONGEST, max(1, int(value * 1e6))))
+        histogram.record_value(min(HISTOGRAM_MAX_US, max(1, int(value * 1e6))))
         low, high, count = min(low, value), max(high, value), count + 1
     if not count:
         return {}
-    found = {
-        f"{name}.p{share:g}": Metric(histogram.get_value_at_percentile(share) / 1e6, "s", low, high, count)
-        for share in shares
+    metrics = {
+        f"{name}.p{percent:g}": Metric(
+            histogram.get_value_at_percentile(percent) / 1e6, "s", low, high, count
+        )
+        for percent in percents
     }
-    return found | {f"{name}.max": Metric(high, "s", low, high, count)}
+    return metrics | {f"{name}.max": Metric(high, "s", low, high, count)}
 
 
-def spread(values: Sequence[float], unit: str) -> Metric:
-    """The mean over instances and their range."""
+def mean_with_range(values: Sequence[float], unit: str) -> Metric:
+    """Return the mean of the instances' values with their range."""
     if not values:
         return Metric(0.0, unit)
     return Metric(sum(values) / len(values), unit, min(values), max(values), len(values))
 
 
-async def play(steps: Iterable[Step], start: float) -> None:
-    """Do what is to be done at its times, in seconds from the Unix time `start`."""
-    for at, act in sorted(steps, key=lambda step: step[0]):
+async def run_actions(actions: Iterable[TimedAction], start: float) -> None:
+    """Run each action at its time, in seconds from the Unix time `start`."""
+    for at, action in sorted(actions, key=lambda timed: timed[0]):
         await asyncio.sleep(max(0.0, start + at - time.time()))
-        act()
+        action()
 
 
-async def start_of(began: Awaitable[float], ended: asyncio.Event) -> float | None:
-    """Wait for the Unix time at which the schedule begins; None if the process ends before."""
-    told = asyncio.ensure_future(began)
+async def wait_for_start(began: Awaitable[float], ended: asyncio.Event) -> float | None:
+    """Wait until the schedule begins and return its Unix time; None if `ended` is set first."""
+    start_known = asyncio.ensure_future(began)
     end = asyncio.create_task(ended.wait())
     try:
-        await asyncio.wait({told, end}, return_when=asyncio.FIRST_COMPLETED)
-        if not told.done():
+        await asyncio.wait({start_known, end}, return_when=asyncio.FIRST_COMPLETED)
+        if not start_known.done():
             return None
-        start = told.result()
+        start = start_known.result()
         with suppress(TimeoutError):
             async with asyncio.timeout(max(0.0, start - time.time())):
                 await end
@@ -135,27 +140,31 @@
         end.cancel()
 
 
-async def go(
+async def run_schedule(
     plan: Plan,
     began: Awaitable[float],
     ended: asyncio.Event,
     meter: Meter,
-    steps: Callable[[float], Iterable[Step]],
+    actions: Callable[[float], Iterable[TimedAction]],
     *,
     finish: Callable[[], object] = lambda: None,
 ) -> None:
-    """Play the schedule: `steps` are what to do, from its Unix time; `finish` follows the last second."""
-    start = await start_of(began, ended)
+    """Run the schedule and record it, then go on serving for up to `LINGER_S`.
+
+    `actions` returns the timed actions, given the schedule's Unix start time; `finish` is called after the
+    last second. If `ended` is set before the schedule begins, returns at once without calling `finish`.
+    """
+    start = await wait_for_start(began, ended)
     if start is None:
         return
-    player = asyncio.create_task(play(steps(start), start))
+    actions_task = asyncio.create_task(run_actions(actions(start), start))
     try:
-        await meter.follow(start, plan.experiment.seconds, ended)
-        if player.done():
-            player.result()  # a fault of ours must not pass for a quiet schedule
+        await meter.record(start, plan.experiment.seconds, ended)
+        if actions_task.done():
+            actions_task.result()  # raise the error of a failed action, which would otherwise go unnoticed
         finish()
         with suppress(TimeoutError):
-            async with asyncio.timeout(LINGER):
+            async with asyncio.timeout(LINGER_S):
                 await ended.wait()
     finally:
-        player.cancel()
+        actions_task.cancel()
--- a/fleetlab/standins/network.py
+++ b/fleetlab/standins/network.py
@@ -18,7 +18,7 @@
 
 from fleetlab.plan import Plan, listeners
 from fleetlab.results import Metric, Role
-from fleetlab.standins.lifecycle import Meter, Step, go, host_port
+from fleetlab.standins.lifecycle import Meter, TimedAction, host_port, run_schedule
 from fleetlab.standins.schedule import Partition, is_partitioned, loss_share_at, partitions
 
 LONGEST = 256  # bytes of a datagram
@@ -145,7 +145,7 @@
         lines = [line.split() for line in Path("/proc/net/udp").read_text().splitlines()[1:]]
         return sum(int(line[-1]) for line in lines if line[9] in inodes)
 
-    def steps(self, start: float) -> list[Step]:
+    def scheduled_actions(self, start: float) -> list[TimedAction]:
         """When the network changes."""
         self.zero = self.loop.time()  # called as the schedule begins
         self.overruns_before = self.overruns()
@@ -158,17 +158,17 @@
         self._choose(moment)
 
     def role(self) -> Role:
-        meter, played = self.meter, self.meter.played or 1.0
+        meter, elapsed_s = self.meter, self.meter.elapsed_s or 1.0
         metrics = {"cpu.share": meter.cpu()}
         for name in ("sent", "delivered", "dropped", "broken", "garbled"):
             metrics[name] = meter.rate(name)
         for name in ("sent.bytes", "delivered.bytes"):
             metrics[name] = meter.rate(name, "B/s")
-        each = meter.sum("delivered.bytes") / played / max(1, len(self.hearing))
+        each = meter.total("delivered.bytes") / elapsed_s / max(1, len(self.hearing))
         metrics["bytes.in.peers"] = Metric(each, "B/s", count=len(self.hearing))
         metrics["overruns"] = Metric(float(self.overruns() - self.overruns_before), "datagrams")
         metrics["listening"] = Metric(float(len(self.hearing)), "routers")
-        return Role(1, metrics, dict(meter.seconds))
+        return Role(1, metrics, dict(meter.per_second))
 
 
 async def run(
@@ -184,7 +184,7 @@
         roles["network"] = network.role()
 
     try:
-        await go(plan, began, ended, network.meter, network.steps, finish=finish)
+        await run_schedule(plan, began, ended, network.meter, network.scheduled_actions, finish=finish)
     finally:
         network.close()
     return roles
--- a/fleetlab/standins/origin.py
+++ b/fleetlab/standins/origin.py
@@ -14,7 +14,7 @@
 from fleetlab.plan import Plan
 from fleetlab.results import Role
 from fleetlab.standins.caches import ID, SIGMA, Bucket, value_for, zone_of_request
-from fleetlab.standins.lifecycle import Meter, Step, go, host_port, reset
+from fleetlab.standins.lifecycle import Meter, TimedAction, host_port, reset_connection, run_schedule
 from fleetlab.standins.schedule import is_partitioned, partitions
 
 SLOWER = 3.0  # than a cache server, usually
@@ -136,7 +136,7 @@
             body = identity + b" written" if write else value_for(identity, key)
             self.loop.call_later(delay, link.answer, 200, body)
 
-    def steps(self, start: float) -> list[Step]:
+    def scheduled_actions(self, start: float) -> list[TimedAction]:
         self.zero = self.loop.time()  # called as the schedule begins
         return []
 
@@ -144,7 +144,7 @@
         metrics = {"cpu.share": self.meter.cpu()}
         for name in ("requests", "reads", "writes", "busy", "malformed", "cut", "handshakes"):
             metrics[name] = self.meter.rate(name)
-        return Role(1, metrics, dict(self.meter.seconds))
+        return Role(1, metrics, dict(self.meter.per_second))
 
 
 async def run(
@@ -162,9 +162,9 @@
         roles["origin"] = origin.role()
 
     try:
-        await go(plan, began, ended, origin.meter, origin.steps, finish=finish)
+        await run_schedule(plan, began, ended, origin.meter, origin.scheduled_actions, finish=finish)
     finally:
         server.close()
         for link in list(origin.links):
-            reset(link.transport)
+            reset_connection(link.transport)
     return roles
