--- a/fleetlab/standins/discovery.py
+++ b/fleetlab/standins/discovery.py
@@ -1,10 +1,11 @@
-"""Discovery: the list of servers and watches on its changes (PROTOCOL, Discovery).
+"""Stand-in for discovery: serves the list of servers and watches for its changes (PROTOCOL, Discovery).
 
-Every router has an address of its own to ask at, so that calls can be told apart. A call that begins a watch
-or asks for the list is served in turn; one that continues a watch costs no turn. While it is down its
-listening sockets are closed, so that connections are refused.
+Each router calls its own address, so that the caller of a request is known. Calls that begin a watch or ask
+for the whole list are queued and served one after another; a call that continues a watch bypasses the queue.
+While discovery is down its listening sockets are closed, so that connections are refused.
 
-Bytes are those of HTTP, from the router's side: `bytes.in.discovery` is what a router was sent.
+Bytes are those of HTTP, without TCP/IP headers, seen from the router: `bytes.in.discovery` is what a router
+received.
 """
 
 from __future__ import annotations
@@ -42,332 +43,356 @@
     router_outages,
 )
 
-CONTINUES = 0.2  # seconds after an answer within which the next call goes on with the watch
-LAPSED = 2.0  # seconds within which a call that is too late for that is counted as such
-LONGEST_WAIT = 60.0
-KEPT = 256  # versions back from which changes are told; a longer gap gets the whole list
-LONGEST_HEAD = 8192
+WATCH_CONTINUE_S = 0.2  # a call within this time of the watch's last answer continues the watch
+LAPSED_WATCH_S = 2.0  # a later call within this time counts in `calls.lapsed`
+MAX_WAIT_S = 60.0
+HISTORY_VERSIONS = 256  # a router that is further behind gets the whole list in place of the changes
+MAX_HEAD_BYTES = 8192
 BACKLOG = 16
-REQUEST = re.compile(rb"GET (/[^ ?]*)(?:\?([^ ]*))? HTTP/1\.([01])\r\n")
-TARGET = b"/registry/instances"
-# where the kernel tells how many milliseconds ago the last data came (struct tcp_info, linux/tcp.h)
-LAST_DATA_RECEIVED = 52
+REQUEST_LINE = re.compile(rb"GET (/[^ ?]*)(?:\?([^ ]*))? HTTP/1\.([01])\r\n")
+LIST_PATH = b"/registry/instances"
+# offset of tcpi_last_data_recv, the milliseconds since data last arrived, in struct tcp_info (linux/tcp.h)
+LAST_DATA_RECV_OFFSET = 52
 
 
-def respond(status: bytes, body: bytes, close: bool) -> bytes:
-    """A whole response."""
+def format_response(status: bytes, body: bytes, close: bool) -> bytes:
+    """Return an HTTP response with a JSON body; with `close` it announces the end of the connection."""
     connection = b"close" if close else b"keep-alive"
     head = b"HTTP/1.1 %b\r\nContent-Type: application/json\r\nContent-Length: %d\r\nConnection: %b\r\n\r\n"
     return head % (status, len(body), connection) + body
 
 
-class Versions:
-    """The list, its versions, and the answers to calls, each encoded once."""
+class VersionedList:
+    """The server list with its recent versions, and the answers to calls, each encoded only once."""
 
     def __init__(self, plan: Plan) -> None:
         message = first_list(plan)
         self.index: int = message["index"]
-        self.oldest = self.index  # from which on changes can be told
+        self.oldest = self.index  # the oldest version for which changes can be sent
         self.entries: dict[str, dict[str, Any]] = {e["name"]: e for e in message["endpoints"]}
         self.changes: dict[int, ListChange] = {}
-        self.had: dict[int, float] = {}  # Unix time of each version
-        self.encoded: dict[int | None, tuple[bytes, int]] = {}
+        self.published_at: dict[int, float] = {}  # Unix time, by version
+        self.encoded_answers: dict[int | None, tuple[bytes, int]] = {}
 
     def publish(self, change: ListChange) -> None:
-        """The next version."""
+        """Add the next version."""
         self.index += 1
-        self.had[self.index] = time.time()
+        self.published_at[self.index] = time.time()
         self.changes[self.index] = change
-        self.oldest = max(self.oldest, self.index - KEPT)
+        self.oldest = max(self.oldest, self.index - HISTORY_VERSIONS)
         for entry in change.entries:
             if entry["status"] == "terminated":
                 self.entries.pop(entry["name"], None)
             else:
                 self.entries[entry["name"]] = entry
-        self.encoded.clear()
+        self.encoded_answers.clear()
 
-    def news(self, after: int) -> bool:
-        """Whether a watch from this version on has something to tell."""
+    def has_changes(self, after: int) -> bool:
+        """Whether the current version differs from the one that a watch waits on."""
         return after != self.index
 
     def body(self, after: int | None) -> tuple[bytes, int]:
-        """The answer to a call and how many entries it holds; None asks for the whole list."""
-        known = self.encoded.get(after)
-        if known is not None:
-            return known
-        whole = after is None or not self.oldest <= after <= self.index
-        changed: dict[str, dict[str, Any]] = self.entries
-        if after is not None and not whole:
+        """Return the answer to a call and how many entries it holds.
+
+        The answer holds the changes after version `after`, or the whole list if that is None or unknown.
+        """
+        cached = self.encoded_answers.get(after)
+        if cached is not None:
+            return cached
+        snapshot = after is None or not self.oldest <= after <= self.index
+        selected: dict[str, dict[str, Any]] = self.entries
+        if after is not None and not snapshot:
             versions = range(after + 1, self.index + 1)
-            changed = {e["name"]: e for v in versions for e in self.changes[v].entries}
-        message = {"index": self.index, "snapshot": whole, "endpoints": list(changed.values())}
-        self.encoded[after] = orjson.dumps(message), len(changed)
-        return self.encoded[after]
+            selected = {e["name"]: e for v in versions for e in self.changes[v].entries}
+        message = {"index": self.index, "snapshot": snapshot, "endpoints": list(selected.values())}
+        self.encoded_answers[after] = orjson.dumps(message), len(selected)
+        return self.encoded_answers[after]
 
 
-class Link(asyncio.Protocol):
-    """A connection of a router, which has one call in hand at a time."""
+class RouterConnection(asyncio.Protocol):
+    """A connection from a router, with one call in flight at a time."""
 
-    def __init__(self, service: Service, router: int) -> None:
-        self.service = service
+    def __init__(self, server: DiscoveryServer, router: int) -> None:
+        self.server = server
         self.router = router
         self.buffer = b""
         self.after: int | None = None
-        self.wait = 0.0
-        self.arrived = 0.0  # on the loop's clock
-        self.close = False
-        self.busy = False
-        self.gone = False
+        self.wait_s = 0.0
+        self.arrived_at = 0.0  # event loop time
+        self.close_after_reply = False
+        self.in_flight = False
+        self.is_closed = False
         self.timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Register the connection."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
-        self.service.links[self] = None
+        self.server.connections[self] = None
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.gone = True
+        """Drop the connection's call, watch and timer."""
+        self.is_closed = True
         if self.timer is not None:
             self.timer.cancel()
-        self.service.links.pop(self, None)
-        self.service.watches.pop(self, None)
+        self.server.connections.pop(self, None)
+        self.server.watches.pop(self, None)
 
     def data_received(self, data: bytes) -> None:
-        self.service.bytes_out[self.router] += len(data)
+        """Count the bytes and start the call once its head is complete."""
+        self.server.bytes_out[self.router] += len(data)
         self.buffer += data
-        self._next()
+        self._read_call()
 
-    def _next(self) -> None:
+    def _read_call(self) -> None:
         end = self.buffer.find(b"\r\n\r\n")
-        if self.busy or self.transport.is_closing():
+        if self.in_flight or self.transport.is_closing():
             return
         if end < 0:
-            if len(self.buffer) > LONGEST_HEAD:
-                self.refuse(b"431 Request Header Fields Too Large")
+            if len(self.buffer) > MAX_HEAD_BYTES:
+                self.reject(b"431 Request Header Fields Too Large")
             return
         head, self.buffer = self.buffer[: end + 2], self.buffer[end + 4 :]
-        request = REQUEST.match(head)
+        request = REQUEST_LINE.match(head)
         if request is None:
-            self.refuse(b"400 Bad Request")
+            self.reject(b"400 Bad Request")
             return
         lower = head.lower()
-        self.close = b"\r\nconnection: close\r\n" in lower or request[3] == b"0"
-        if request[1] != TARGET:
-            self.refuse(b"404 Not Found")
+        self.close_after_reply = b"\r\nconnection: close\r\n" in lower or request[3] == b"0"
+        if request[1] != LIST_PATH:
+            self.reject(b"404 Not Found")
             return
         try:
-            asked = dict(pair.split(b"=", 1) for pair in request[2].split(b"&")) if request[2] else {}
-            self.after = int(asked[b"after"]) if b"after" in asked else None
-            self.wait = min(LONGEST_WAIT, int(asked.get(b"wait_ms", b"0")) / 1000)
+            query = dict(pair.split(b"=", 1) for pair in request[2].split(b"&")) if request[2] else {}
+            self.after = int(query[b"after"]) if b"after" in query else None
+            self.wait_s = min(MAX_WAIT_S, int(query.get(b"wait_ms", b"0")) / 1000)
         except ValueError:
-            self.refuse(b"400 Bad Request")
+            self.reject(b"400 Bad Request")
             return
-        self.busy = True
-        self.service.call(self)
+        self.in_flight = True
+        self.server.handle_call(self)
 
-    def refuse(self, status: bytes) -> None:
-        self.close = True
-        self.service.meter.counts["calls.malformed"] += 1
+    def reject(self, status: bytes) -> None:
+        """Answer a malformed call with an error status, and close the connection."""
+        self.close_after_reply = True
+        self.server.meter.counts["calls.malformed"] += 1
         self.send(status, b"")
 
     def send(self, status: bytes, body: bytes) -> None:
-        """Answer the call in hand; the next one may come."""
+        """Answer the call in flight, then read the next one or close the connection."""
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
-        data = respond(status, body, self.close)
-        self.service.bytes_in[self.router] += len(data)
+        data = format_response(status, body, self.close_after_reply)
+        self.server.bytes_in[self.router] += len(data)
         self.transport.write(data)
-        self.busy = False
-        if self.close:
+        self.in_flight = False
+        if self.close_after_reply:
             self.transport.close()
         elif self.buffer:
-            self._next()
+            self._read_call()
+
+    def seconds_since_receipt(self) -> float:
+        """Return the seconds since the kernel received the call.
 
-    def since_arrival(self) -> float:
-        """Seconds since the kernel got the call: our own delay must not end a watch."""
+        A call that this process was late to read must not count as one that the router sent too late.
+        """
         info = self.transport.get_extra_info("socket").getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 104)
-        return float(struct.unpack_from("I", info, LAST_DATA_RECEIVED)[0]) / 1000
+        return float(struct.unpack_from("I", info, LAST_DATA_RECV_OFFSET)[0]) / 1000
 
 
-class Service:
-    """One discovery for all routers."""
+class DiscoveryServer:
+    """The one discovery server for all routers."""
 
     def __init__(self, plan: Plan) -> None:
         self.plan = plan
         self.capacity = plan.experiment.discovery
         self.meter = Meter()
         self.loop = asyncio.get_running_loop()
-        self.versions = Versions(plan)
-        self.listening: list[asyncio.Server] = []
-        self.opening: asyncio.Task[None] | None = None
-        self.links: dict[Link, None] = {}
-        self.watches: dict[Link, None] = {}  # that wait for news
-        self.queue: deque[Link] = deque()  # of calls to be served in turn
-        self.most_waiting = 0
-        self.start_waiting = 0
-        self.free_at = 0.0  # when the call in service is done, on the loop's clock
-        self.turn: asyncio.TimerHandle | None = None
+        self.versions = VersionedList(plan)
+        self.listeners: list[asyncio.Server] = []
+        self.reopen_task: asyncio.Task[None] | None = None
+        self.connections: dict[RouterConnection, None] = {}
+        self.watches: dict[RouterConnection, None] = {}  # waiting for a change
+        self.queue: deque[RouterConnection] = deque()  # calls waiting for service
+        self.max_queue_length = 0
+        self.startup_max_queue_length = 0
+        self.busy_until = 0.0  # when the call in service is done, event loop time
+        self.queue_timer: asyncio.TimerHandle | None = None
         count = plan.routers()
-        self.answered = [float("-inf")] * count  # when each router's watch was last answered
-        self.told = [self.versions.index] * count
-        self.heard = bytearray(count)  # 1: has called
+        self.watch_answered_at = [float("-inf")] * count  # by router, event loop time
+        self.sent_version = [self.versions.index] * count  # by router, the latest one written to it
+        self.has_called = bytearray(count)  # by router, 1 once it has called
         self.bytes_in = [0] * count
         self.bytes_out = [0] * count
-        self.force = array("d")
-        self.missed = 0
-        self.start = 0.0
-        self.absences: dict[int, list[RouterOutage]] = {}
+        self.propagation_times = array("d")  # seconds from publication until written to a router
+        self.missed_updates = 0
+        self.schedule_start = 0.0
+        self.outages: dict[int, list[RouterOutage]] = {}
         self.meter.gauges["calls.waiting"] = lambda: float(len(self.queue))
 
-    async def up(self) -> None:
-        """Take calls at every router's address."""
+    async def open(self) -> None:
+        """Listen on every router's address."""
         for router in range(self.plan.routers()):
             server = await self.loop.create_server(
-                lambda router=router: Link(self, router),  # type: ignore[misc]
+                lambda router=router: RouterConnection(self, router),  # type: ignore[misc]
                 *host_port(self.plan.addresses.discovery(router)),
                 reuse_address=True,
                 backlog=BACKLOG,
             )
-            self.listening.append(server)
+            self.listeners.append(server)
 
-    def down(self) -> None:
-        """Refuse connections and reset the open ones; watches and the queue are lost."""
-        if self.opening is not None:
-            self.opening.cancel()
-        for server in self.listening:
+    def close(self) -> None:
+        """Stop listening and reset open connections; watches and queued calls are lost."""
+        if self.reopen_task is not None:
+            self.reopen_task.cancel()
+        for server in self.listeners:
             server.close()
-        self.listening.clear()
-        self.meter.counts["calls.failed"] += sum(link.busy for link in self.links)
-        for link in list(self.links):
-            link.gone = True
-            reset_connection(link.transport)
+        self.listeners.clear()
+        self.meter.counts["calls.failed"] += sum(connection.in_flight for connection in self.connections)
+        for connection in list(self.connections):
+            connection.is_closed = True
+            reset_connection(connection.transport)
         self.watches.clear()
         self.queue.clear()
-        self.answered = [float("-inf")] * len(self.answered)
+        self.watch_answered_at = [float("-inf")] * len(self.watch_answered_at)
 
-    def back(self) -> None:
-        self.opening = self.loop.create_task(self.up())
+    def reopen(self) -> None:
+        """Listen again after an outage."""
+        self.reopen_task = self.loop.create_task(self.open())
 
-    def call(self, link: Link) -> None:
-        """A call has come."""
-        self.heard[link.router] = 1
+    def handle_call(self, connection: RouterConnection) -> None:
+        """Answer a call that continues a watch, or queue it."""
+        self.has_called[connection.router] = 1
         self.meter.counts["calls"] += 1
         now = self.loop.time()
-        link.arrived = now
-        if link.after is not None:
-            since = now - self.answered[link.router]
-            if since > CONTINUES and since < LAPSED:
-                since -= link.since_arrival()
-            if since <= CONTINUES:
-                self.answer(link)
+        connection.arrived_at = now
+        if connection.after is not None:
+            since = now - self.watch_answered_at[connection.router]
+            if since > WATCH_CONTINUE_S and since < LAPSED_WATCH_S:
+                since -= connection.seconds_since_receipt()
+            if since <= WATCH_CONTINUE_S:
+                self.answer(connection)
                 return
-            # many routers in one process can be too late by the process's fault: to be seen in the figures
-            self.meter.counts["calls.lapsed"] += since < LAPSED
+            # hollow routers that share a busy process can call too late; the metric shows how often
+            self.meter.counts["calls.lapsed"] += since < LAPSED_WATCH_S
         self.meter.counts["calls.turn"] += 1
-        self.queue.append(link)
-        self.most_waiting = max(self.most_waiting, len(self.queue))
-        self._serve()
+        self.queue.append(connection)
+        self.max_queue_length = max(self.max_queue_length, len(self.queue))
+        self._serve_queue()
 
-    def _serve(self) -> None:
-        """Serve whose turn it is; one that has waited too long, in turn or in service, is ended with 503.
+    def _serve_queue(self) -> None:
+        """Serve queued calls, each for its service time; a call past the time limit fails with 503.
 
-        The clock of service runs on by itself, so that the loop's own granularity costs no capacity.
+        Service times follow on each other in `busy_until`, independent of when the event loop runs this
+        method, so that the loop's timer granularity does not reduce the capacity.
         """
-        if self.turn is not None:
-            self.turn.cancel()
-            self.turn = None
+        if self.queue_timer is not None:
+            self.queue_timer.cancel()
+            self.queue_timer = None
         now, limit = self.loop.time(), self.capacity.timeout
         while self.queue:
-            link = self.queue[0]
-            begins, overdue = max(self.free_at, link.arrived), link.arrived + limit
-            if not link.gone and min(begins, overdue) > now:
-                self.turn = self.loop.call_at(min(begins, overdue), self._serve)
+            connection = self.queue[0]
+            begins, overdue = max(self.busy_until, connection.arrived_at), connection.arrived_at + limit
+            if not connection.is_closed and min(begins, overdue) > now:
+                self.queue_timer = self.loop.call_at(min(begins, overdue), self._serve_queue)
                 return
             self.queue.popleft()
-            if link.gone:
+            if connection.is_closed:
                 continue
             if begins >= overdue:
-                self.fail(link)
+                self.fail(connection)
                 continue
             lines = 0
-            if link.after is None or self.versions.news(link.after):
-                lines = self.versions.body(link.after)[1]
-            self.free_at = begins + self.capacity.call_ms / 1e3 + lines * self.capacity.line_us / 1e6
-            done = self.answer if self.free_at <= overdue else self.fail  # the work is lost
-            self.loop.call_at(min(self.free_at, overdue), done, link)
-
-    def fail(self, link: Link) -> None:
-        if not link.gone:
+            if connection.after is None or self.versions.has_changes(connection.after):
+                lines = self.versions.body(connection.after)[1]
+            self.busy_until = begins + self.capacity.call_ms / 1e3 + lines * self.capacity.line_us / 1e6
+            # a call that times out in service has used its service time all the same
+            done = self.answer if self.busy_until <= overdue else self.fail
+            self.loop.call_at(min(self.busy_until, overdue), done, connection)
+
+    def fail(self, connection: RouterConnection) -> None:
+        """Answer a call with 503, which ends the router's watch."""
+        if not connection.is_closed:
             self.meter.counts["calls.failed"] += 1
-            self.answered[link.router] = float("-inf")
-            link.send(b"503 Service Unavailable", b"")
+            self.watch_answered_at[connection.router] = float("-inf")
+            connection.send(b"503 Service Unavailable", b"")
 
-    def answer(self, link: Link) -> None:
-        """Answer, or let a watch wait for news."""
-        if link.gone:
+    def answer(self, connection: RouterConnection) -> None:
+        """Answer a call; a watch with no changes waits for the next one or its own time limit."""
+        if connection.is_closed:
             return
-        left = link.arrived + link.wait - self.loop.time()
-        if link.after is not None and not self.versions.news(link.after) and left > 0:
-            self.watches[link] = None
-            link.timer = self.loop.call_later(left, self._tell, link)
+        left = connection.arrived_at + connection.wait_s - self.loop.time()
+        if connection.after is not None and not self.versions.has_changes(connection.after) and left > 0:
+            self.watches[connection] = None
+            connection.timer = self.loop.call_later(left, self._send_list, connection)
         else:
-            self._tell(link)
-
-    def _tell(self, link: Link) -> None:
-        self.watches.pop(link, None)
-        router, index = link.router, self.versions.index
-        if link.after is not None:
-            self.answered[router] = self.loop.time()
-        if not link.transport.is_closing():
-            link.send(b"200 OK", self.versions.body(link.after)[0])
-            self._note(router, index)
-
-    def _note(self, router: int, index: int) -> None:
-        """The router has been written all up to a version."""
-        told, now = self.told[router], time.time()
-        if index <= told:
+            self._send_list(connection)
+
+    def _send_list(self, connection: RouterConnection) -> None:
+        self.watches.pop(connection, None)
+        router, index = connection.router, self.versions.index
+        if connection.after is not None:
+            self.watch_answered_at[router] = self.loop.time()
+        if not connection.transport.is_closing():
+            connection.send(b"200 OK", self.versions.body(connection.after)[0])
+            self._record_sent(router, index)
+
+    def _record_sent(self, router: int, index: int) -> None:
+        """Record the propagation time of every version up to `index` that the router lacked."""
+        sent, now = self.sent_version[router], time.time()
+        if index <= sent:
             return
-        self.told[router] = index
-        for version in range(told + 1, index + 1):
-            had = self.versions.had[version]
-            if not self.absent(router, had, now):
-                self.force.append(now - had)
-
-    def absent(self, router: int, start: float, end: float) -> bool:
-        """Whether a router was gone at any time between."""
-        gone = self.absences.get(router, ())
-        return any(self.start + a.start <= end and start <= self.start + a.end for a in gone)
+        self.sent_version[router] = index
+        for version in range(sent + 1, index + 1):
+            published_at = self.versions.published_at[version]
+            if not self.was_down(router, published_at, now):
+                self.propagation_times.append(now - published_at)
+
+    def was_down(self, router: int, start: float, end: float) -> bool:
+        """Whether a router had an outage between two Unix times."""
+        own_outages = self.outages.get(router, ())
+        return any(
+            self.schedule_start + o.start <= end and start <= self.schedule_start + o.end for o in own_outages
+        )
 
     def publish(self, change: ListChange) -> None:
+        """Add the next version of the list and send it to all waiting watches."""
         self.versions.publish(change)
-        for link in list(self.watches):
-            self._tell(link)
+        for connection in list(self.watches):
+            self._send_list(connection)
 
     def scheduled_actions(self, start: float) -> list[TimedAction]:
-        """What happens in the schedule, from its Unix time."""
-        self.start = start
+        """Return the changes and outages of the schedule, and reset the counters that exclude start-up."""
+        self.schedule_start = start
         plan = msgspec.structs.replace(self.plan, began=start)
-        for absence in router_outages(plan):
-            self.absences.setdefault(absence.router, []).append(absence)
-        self.start_waiting, self.most_waiting = self.most_waiting, len(self.queue)
-        self.bytes_in, self.bytes_out = [0] * len(self.told), [0] * len(self.told)
-        steps: list[TimedAction] = []
+        for outage in router_outages(plan):
+            self.outages.setdefault(outage.router, []).append(outage)
+        self.startup_max_queue_length, self.max_queue_length = self.max_queue_length, len(self.queue)
+        self.bytes_in, self.bytes_out = [0] * len(self.sent_version), [0] * len(self.sent_version)
+        actions: list[TimedAction] = []
         for change in list_changes(plan):
-            steps.append((change.at, lambda change=change: self.publish(change)))  # type: ignore[misc]
+            actions.append((change.at, lambda change=change: self.publish(change)))  # type: ignore[misc]
         for down, up in discovery_downtimes(plan):
-            steps += [(down, self.down), (up, self.back)]
-        return steps
+            actions += [(down, self.close), (up, self.reopen)]
+        return actions
 
     def finish(self) -> None:
-        """Close the account: news that a router was never written count with the time until now."""
+        """Compute the role's figures.
+
+        A version that a router lacks after `PROPAGATION_S` counts as missed, with the time until now.
+        """
         now = time.time()
-        for router, told in enumerate(self.told):
-            for version in range(told + 1, self.versions.index + 1):
-                had = self.versions.had[version]
-                if self.heard[router] and now - had > PROPAGATION_S and not self.absent(router, had, now):
-                    self.missed += 1
-                    self.force.append(now - had)
+        for router, sent in enumerate(self.sent_version):
+            for version in range(sent + 1, self.versions.index + 1):
+                published_at = self.versions.published_at[version]
+                if (
+                    self.has_called[router]
+                    and now - published_at > PROPAGATION_S
+                    and not self.was_down(router, published_at, now)
+                ):
+                    self.missed_updates += 1
+                    self.propagation_times.append(now - published_at)
         self.role = self._role()
 
     def _role(self) -> Role:
@@ -377,14 +402,14 @@
             "calls": meter.rate("calls"),
             "calls.turn": meter.rate("calls.turn"),
             "calls.failed": meter.rate("calls.failed"),
-            "calls.waiting": Metric(float(self.most_waiting), "calls"),
+            "calls.waiting": Metric(float(self.max_queue_length), "calls"),
             "calls.lapsed": meter.rate("calls.lapsed"),
             "calls.malformed": meter.rate("calls.malformed"),
             "start.calls": Metric(meter.startup_totals.get("calls", 0.0), "calls"),
             "start.calls.turn": Metric(meter.startup_totals.get("calls.turn", 0.0), "calls"),
             "start.calls.failed": Metric(meter.startup_totals.get("calls.failed", 0.0), "calls"),
-            "start.calls.waiting": Metric(float(self.start_waiting), "calls"),
-            "force.missed": Metric(float(self.missed), "routers x versions"),
+            "start.calls.waiting": Metric(float(self.startup_max_queue_length), "calls"),
+            "force.missed": Metric(float(self.missed_updates), "routers x versions"),
             "versions": Metric(float(self.versions.index - 1), "versions"),
         }
         real = self.plan.experiment.fleet.real
@@ -393,21 +418,19 @@
             metrics[f"bytes.{name}.discovery"] = mean_with_range(rates, "B/s")
             metrics[f"bytes.{name}.discovery.real"] = mean_with_range(rates[:real], "B/s")
             metrics[f"bytes.{name}.discovery.hollow"] = mean_with_range(rates[real:], "B/s")
-        metrics |= percentiles("force", self.force, (50, 99))
+        metrics |= percentiles("force", self.propagation_times, (50, 99))
         return Role(1, metrics, dict(meter.per_second))
 
 
 async def run(
     plan: Plan, ready: Callable[[], None], began: Awaitable[float], ended: asyncio.Event
 ) -> dict[str, Role]:
-    """Be discovery until the schedule is over or `ended`; answers with the role `discovery`."""
-    service = Service(plan)
-    await service.up()
+    """Run discovery until the schedule is over or `ended` is set, and return the role `discovery`."""
+    server = DiscoveryServer(plan)
+    await server.open()
     ready()
     try:
-        await run_schedule(
-            plan, began, ended, service.meter, service.scheduled_actions, finish=service.finish
-        )
+        await run_schedule(plan, began, ended, server.meter, server.scheduled_actions, finish=server.finish)
     finally:
-        service.down()
-    return {"discovery": service.role} if service.meter.elapsed_s else {}
+        server.close()
+    return {"discovery": server.role} if server.meter.elapsed_s else {}
