--- a/fleetlab/standins/caches.py
+++ b/fleetlab/standins/caches.py
@@ -1,7 +1,8 @@
-"""Cache servers, each with its address, all in one process (PROTOCOL, Routers to cache servers).
+"""Stand-ins for the cache servers, one address each, in one process (PROTOCOL, Routers to cache servers).
 
-Only real routers reach them over sockets: capacities are what these routers' requests come to. Clients'
-stand-ins put the router's number into the first four digits of a request's id, by which a cut region is told.
+Only real routers reach them over sockets, so their capacities follow from the request rate of the real
+routers. The clients' stand-in puts the router's number into the first four digits of a request's id; from it
+a server derives the router's zone, to drop requests across a network partition.
 """
 
 from __future__ import annotations
@@ -37,30 +38,30 @@
     warmup_share,
 )
 
-SIGMA = 0.4  # of the lognormal times about their median
-VALUE = 200  # bytes of a value, with the id that it begins with
-LEAST_BURST = 4.0  # requests that a server takes at once, however small
-BURST = 0.5  # seconds of its capacity that it takes at once
+LATENCY_SIGMA = 0.4  # of the lognormal distribution of response times
+VALUE_BYTES = 200  # including the request id at the beginning
+MIN_BURST = 4.0  # requests that a server accepts at once, however small its capacity
+BURST_S = 0.5  # seconds of its capacity that a server accepts at once
 BACKLOG = 128
-ID = re.compile(rb"[0-9a-f]{16}")
-NOT_YET = object()
-PARTS = {b"C.GET": 4, b"C.SET": 5}
+REQUEST_ID = re.compile(rb"[0-9a-f]{16}")
+INCOMPLETE = object()
+COMMAND_PARTS = {b"C.GET": 4, b"C.SET": 5}  # number of parts, the command's name included
 
 
-def value_for(request: bytes, key: bytes) -> bytes:
-    """A value that can be told to be made for this request: it begins with the id."""
-    return (request + b" " + key).ljust(VALUE, b".")
+def make_value(request: bytes, key: bytes) -> bytes:
+    """Return a value that begins with the request id, by which a client sees that it answers its request."""
+    return (request + b" " + key).ljust(VALUE_BYTES, b".")
 
 
-def form_fault(parts: Any) -> str:
-    """What is wrong with the form of a command, as no client would send it; empty where nothing is."""
+def syntax_error(parts: Any) -> str:
+    """Return what is malformed in a command; empty if it is well formed."""
     if not isinstance(parts, list) or not parts or not all(isinstance(p, bytes) for p in parts):
         return "not an array of bulk strings"
-    if parts[0] not in PARTS:
+    if parts[0] not in COMMAND_PARTS:
         return ""
-    if len(parts) != PARTS[parts[0]]:
+    if len(parts) != COMMAND_PARTS[parts[0]]:
         return "wrong number of parts"
-    if not parts[1] or not ID.fullmatch(parts[2]):
+    if not parts[1] or not REQUEST_ID.fullmatch(parts[2]):
         return "no key, or no id of 16 hex digits"
     pairs = [pair.partition(b"=") for pair in parts[3].split(b",")]
     names = {name: value for name, equals, value in pairs if equals}
@@ -70,130 +71,138 @@
 
 
 def zone_of_request(request: bytes, zones: int) -> int:
-    """The zone of the router that a client's stand-in gave this request."""
+    """Return the zone of the router to which the clients' stand-in sent this request, from its id."""
     return int(request[:4], 16) % zones
 
 
-class Bucket:
-    """Takes so many requests a second, with a short burst."""
+class TokenBucket:
+    """Limits requests to a rate, with short bursts above it."""
 
     def __init__(self, now: float) -> None:
-        self.tokens = LEAST_BURST
-        self.at = now
-
-    def take(self, now: float, capacity: float) -> bool:
-        """Whether one more is within the capacity, which may change from call to call."""
-        most = max(LEAST_BURST, BURST * capacity)
-        self.tokens = min(most, self.tokens + (now - self.at) * capacity)
-        self.at = now
+        self.tokens = MIN_BURST
+        self.updated_at = now
+
+    def try_take(self, now: float, capacity: float) -> bool:
+        """Take a token if there is one, at a capacity per second that may change from call to call."""
+        burst = max(MIN_BURST, BURST_S * capacity)
+        self.tokens = min(burst, self.tokens + (now - self.updated_at) * capacity)
+        self.updated_at = now
         if self.tokens < 1:
             return False
         self.tokens -= 1
         return True
 
 
-class Link(asyncio.Protocol):
-    """A connection of a router; its answers go out in the order of its commands."""
+class RouterConnection(asyncio.Protocol):
+    """A connection from a router; replies are sent in the order of the commands."""
 
     def __init__(self, server: Server) -> None:
         self.server = server
-        self.reader = hiredis.Reader(notEnoughData=NOT_YET)
-        self.slots: deque[list[bytes]] = deque()  # one for each command, empty until it is answered
-        self.used = 0.0
+        self.reader = hiredis.Reader(notEnoughData=INCOMPLETE)
+        self.pending_replies: deque[list[bytes]] = deque()  # one per command, empty until it is answered
+        self.last_used = 0.0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Register the connection and count its handshake."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
-        self.used = self.server.farm.loop.time()
-        self.server.links[self] = None
-        self.server.farm.meter.counts["handshakes"] += 1
+        self.last_used = self.server.cluster.loop.time()
+        self.server.connections[self] = None
+        self.server.cluster.meter.counts["handshakes"] += 1
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.server.links.pop(self, None)
+        """Unregister the connection."""
+        self.server.connections.pop(self, None)
 
     def data_received(self, data: bytes) -> None:
-        self.used = self.server.farm.loop.time()
+        """Buffer the bytes and process complete commands, unless the server hangs."""
+        self.last_used = self.server.cluster.loop.time()
         self.reader.feed(data)
-        if not self.server.hanging:
-            self.take()
+        if not self.server.is_hanging:
+            self.process_commands()
 
-    def take(self) -> None:
-        """Begin the commands that have come whole."""
+    def process_commands(self) -> None:
+        """Start all commands that have been received completely."""
         while not self.transport.is_closing():
             try:
                 parts = self.reader.gets()
             except hiredis.ProtocolError as e:
                 parts = e
-            if parts is NOT_YET:
+            if parts is INCOMPLETE:
                 return
-            fault = form_fault(parts)
-            slot: list[bytes] = []
-            self.slots.append(slot)
-            if fault:
-                self.server.farm.meter.counts["syntax"] += 1
-                self.answer(slot, b"-SYNTAX %b\r\n" % fault.encode())
+            error = syntax_error(parts)
+            reply: list[bytes] = []
+            self.pending_replies.append(reply)
+            if error:
+                self.server.cluster.meter.counts["syntax"] += 1
+                self.answer(reply, b"-SYNTAX %b\r\n" % error.encode())
                 if isinstance(parts, Exception):
                     self.transport.close()
             else:
-                self.server.command(parts, partial(self.answer, slot))
+                self.server.handle_command(parts, partial(self.answer, reply))
 
-    def answer(self, slot: list[bytes], data: bytes) -> None:
-        slot.append(data)
+    def answer(self, reply: list[bytes], data: bytes) -> None:
+        """Fill in the reply to a command, and send every reply whose turn it is."""
+        reply.append(data)
         self.flush()
 
     def flush(self) -> None:
-        if self.server.hanging or self.transport.is_closing():
+        """Send replies up to the first command that is not answered yet; nothing while the server hangs."""
+        if self.server.is_hanging or self.transport.is_closing():
             return
-        while self.slots and self.slots[0]:
-            self.transport.write(self.slots.popleft()[0])
+        while self.pending_replies and self.pending_replies[0]:
+            self.transport.write(self.pending_replies.popleft()[0])
 
 
 class Server:
     """One cache server."""
 
-    def __init__(self, farm: Farm, timeline: ServerTimeline) -> None:
-        self.farm = farm
+    def __init__(self, cluster: CacheCluster, timeline: ServerTimeline) -> None:
+        self.cluster = cluster
         self.timeline = timeline
-        self.address = farm.plan.addresses.server(timeline.number)
-        self.zone = timeline.number % farm.plan.experiment.fleet.zones
-        self.listening: asyncio.Server | None = None
-        self.links: dict[Link, None] = {}
-        self.hanging = False
-        self.bucket = Bucket(farm.loop.time())
-        self.recent: deque[float] = deque()  # when it was sent something, within the window of a fall
-        self.fullest = 0.0  # window, as a part of what makes it fall
-        self.fullest_sent = 0
-
-    async def up(self) -> None:
-        self.bucket = Bucket(self.farm.loop.time())
-        self.recent.clear()
-        self.listening = await self.farm.loop.create_server(
-            lambda: Link(self), *host_port(self.address), reuse_address=True, backlog=BACKLOG
+        self.address = cluster.plan.addresses.server(timeline.number)
+        self.zone = timeline.number % cluster.plan.experiment.fleet.zones
+        self.listener: asyncio.Server | None = None
+        self.connections: dict[RouterConnection, None] = {}
+        self.is_hanging = False
+        self.bucket = TokenBucket(cluster.loop.time())
+        # when it was sent requests while cold, within the last `fall_window` seconds
+        self.recent_arrivals: deque[float] = deque()
+        self.peak_window_share = 0.0  # requests in a window over the number that overloads the server
+        self.peak_window_requests = 0
+
+    async def open(self) -> None:
+        """Start the server: listen, with a full burst of capacity."""
+        self.bucket = TokenBucket(self.cluster.loop.time())
+        self.recent_arrivals.clear()
+        self.listener = await self.cluster.loop.create_server(
+            lambda: RouterConnection(self), *host_port(self.address), reuse_address=True, backlog=BACKLOG
         )
 
-    def down(self) -> None:
-        """Gone: connections reset and new ones are refused."""
-        if self.listening is not None:
-            self.listening.close()
-            self.listening = None
-        for link in list(self.links):
-            reset_connection(link.transport)
+    def close(self) -> None:
+        """Stop listening and reset all connections."""
+        if self.listener is not None:
+            self.listener.close()
+            self.listener = None
+        for connection in list(self.connections):
+            reset_connection(connection.transport)
 
     def hang(self) -> None:
-        self.hanging = True
+        """Keep accepting connections and bytes but send nothing."""
+        self.is_hanging = True
 
     def resume(self) -> None:
-        """Go on with what has come meanwhile."""
-        self.hanging = False
-        for link in list(self.links):
-            link.flush()
-            link.take()
-
-    def command(self, parts: list[bytes], answer: Callable[[bytes], None]) -> None:
-        """Begin a command that is well formed."""
+        """End a hang: send the pending replies and process what was received meanwhile."""
+        self.is_hanging = False
+        for connection in list(self.connections):
+            connection.flush()
+            connection.process_commands()
+
+    def handle_command(self, parts: list[bytes], answer: Callable[[bytes], None]) -> None:
+        """Start a well-formed command; `answer` takes its reply."""
         verb = parts[0]
-        if verb in PARTS:
-            self.request(parts, answer)
+        if verb in COMMAND_PARTS:
+            self.handle_request(parts, answer)
         elif verb.upper() == b"PING":
             answer(b"+PONG\r\n")
         elif verb.upper() in (b"CLIENT", b"SELECT"):
@@ -203,123 +212,146 @@
         else:
             answer(b"-ERR unknown command\r\n")
 
-    def request(self, parts: list[bytes], answer: Callable[[bytes], None]) -> None:
-        farm, counts, at = self.farm, self.farm.meter.counts, self.farm.now()
-        experiment = farm.plan.experiment
+    def handle_request(self, parts: list[bytes], answer: Callable[[bytes], None]) -> None:
+        """Answer a request after a random latency, or refuse it beyond the server's capacity.
+
+        Across a partition it is never answered. Whether a read hits is random; a cold server hits less.
+        """
+        cluster, counts, at = self.cluster, self.cluster.meter.counts, self.cluster.schedule_time()
+        experiment = cluster.plan.experiment
         counts["requests"] += 1
-        if is_partitioned(farm.partitions, self.zone, zone_of_request(parts[2], experiment.fleet.zones), at):
-            counts["cut"] += 1  # says nothing, also later
+        if is_partitioned(
+            cluster.partitions, self.zone, zone_of_request(parts[2], experiment.fleet.zones), at
+        ):
+            counts["cut"] += 1  # not answered after the partition ends either
             return
-        started = self.timeline.start_time(at)
-        capacity = farm.capacity * warmup_share(farm.plan, started, at)
-        if started is not None and at < started + experiment.ramp:
-            self.count_cold(at, capacity)
-        if at >= self.timeline.drain_start + experiment.drain_grace or not self.bucket.take(
-            farm.loop.time(), capacity
+        started_at = self.timeline.start_time(at)
+        capacity = cluster.capacity * warmup_share(cluster.plan, started_at, at)
+        if started_at is not None and at < started_at + experiment.ramp:
+            self.record_cold_load(at, capacity)
+        if at >= self.timeline.drain_start + experiment.drain_grace or not self.bucket.try_take(
+            cluster.loop.time(), capacity
         ):
             counts["busy"] += 1
             answer(b"-BUSY\r\n")
             return
-        warm = 1.0 if started is None else min(1.0, (at - started) / max(experiment.ramp, 1e-9))
+        warm = 1.0 if started_at is None else min(1.0, (at - started_at) / max(experiment.ramp, 1e-9))
         if parts[0] == b"C.SET":
             counts["writes"] += 1
-            reply = b"-ERR failed\r\n"  # writes are the origin's
-        elif farm.random.random() < experiment.requests.hits * warm:
+            reply = b"-ERR failed\r\n"  # only the origin accepts writes
+        elif cluster.rng.random() < experiment.requests.hits * warm:
             counts["hits"] += 1
-            value = value_for(parts[2], parts[1])
+            value = make_value(parts[2], parts[1])
             reply = b"*3\r\n$%d\r\n%b\r\n$3\r\nhit\r\n$-1\r\n" % (len(value), value)
         else:
             counts["misses"] += 1
             reply = b"*3\r\n$-1\r\n$4\r\nmiss\r\n$-1\r\n"
-        farm.loop.call_later(farm.latency(), answer, reply)
-
-    def count_cold(self, at: float, capacity: float) -> None:
-        """Note what has been sent within the window, as a part of the budget at present capacity."""
-        experiment, recent = self.farm.plan.experiment, self.recent
-        recent.append(at)
-        while recent[0] <= at - experiment.fall_window:
-            recent.popleft()
+        cluster.loop.call_later(cluster.random_latency_s(), answer, reply)
+
+    def record_cold_load(self, at: float, capacity: float) -> None:
+        """Update the peaks of requests within `fall_window`, also relative to what overloads the server.
+
+        A cold server is overloaded by `fall_multiple` times its present capacity over the whole window.
+        """
+        experiment, arrivals = self.cluster.plan.experiment, self.recent_arrivals
+        arrivals.append(at)
+        while arrivals[0] <= at - experiment.fall_window:
+            arrivals.popleft()
         budget = experiment.fall_multiple * capacity * experiment.fall_window
-        if self.farm.meter.is_recording:
-            self.fullest = max(self.fullest, len(recent) / budget if budget else math.inf)
-            self.fullest_sent = max(self.fullest_sent, len(recent))
+        if self.cluster.meter.is_recording:
+            self.peak_window_share = max(
+                self.peak_window_share, len(arrivals) / budget if budget else math.inf
+            )
+            self.peak_window_requests = max(self.peak_window_requests, len(arrivals))
 
 
-class Farm:
+class CacheCluster:
     """All cache servers."""
 
     def __init__(self, plan: Plan) -> None:
         self.plan = plan
         self.loop = asyncio.get_running_loop()
         self.meter = Meter()
-        self.random = Random(f"caches {plan.seed}")
+        self.rng = Random(f"caches {plan.seed}")
         self.capacity = warm_capacity(plan, real_only=True)
         self.partitions: list[Partition] = partitions(plan)
-        self.zero = math.inf  # the schedule's start on the loop's clock
+        self.schedule_start = math.inf  # event loop time
         self.servers = {n: Server(self, timeline) for n, timeline in server_timelines(plan).items()}
-        self.meter.gauges["connections"] = self.look
-        self.connections: list[list[int]] = []
-        self.opening: set[asyncio.Task[None]] = set()
-
-    def now(self) -> float:
-        """Seconds of the schedule, below 0 before it."""
-        return self.loop.time() - self.zero
-
-    def latency(self) -> float:
-        return self.random.lognormvariate(math.log(self.plan.experiment.requests.latency_ms / 1e3), SIGMA)
-
-    def look(self) -> float:
-        """Mean connections of a server; idle ones are closed in passing, as long ago as routers are told."""
-        idle = self.loop.time() - 30.0  # limits.connIdle of the settings
-        open_now = [s for s in self.servers.values() if s.listening is not None]
-        for server in open_now:
-            for link in [k for k in server.links if k.used < idle and not k.slots and not server.hanging]:
-                link.transport.close()
-        counts = [len(s.links) for s in open_now]
-        self.connections.append(counts)
+        self.meter.gauges["connections"] = self.sample_connections
+        self.connection_counts: list[list[int]] = []
+        self.open_tasks: set[asyncio.Task[None]] = set()
+
+    def schedule_time(self) -> float:
+        """Return the seconds since the schedule began, negative before."""
+        return self.loop.time() - self.schedule_start
+
+    def random_latency_s(self) -> float:
+        """Return a random response time in seconds."""
+        return self.rng.lognormvariate(
+            math.log(self.plan.experiment.requests.latency_ms / 1e3), LATENCY_SIGMA
+        )
+
+    def sample_connections(self) -> float:
+        """Close connections past the idle time-out, and return the mean number of connections per server."""
+        idle_since = self.loop.time() - 30.0  # limits.connIdle of the settings
+        listening = [s for s in self.servers.values() if s.listener is not None]
+        for server in listening:
+            for connection in [
+                c
+                for c in server.connections
+                if c.last_used < idle_since and not c.pending_replies and not server.is_hanging
+            ]:
+                connection.transport.close()
+        counts = [len(s.connections) for s in listening]
+        self.connection_counts.append(counts)
         return sum(counts) / len(counts) if counts else 0.0
 
-    async def up(self) -> None:
-        """Open the servers that are there at the start."""
+    async def open(self) -> None:
+        """Open the servers that are up at the start."""
         for server in self.servers.values():
             if server.timeline.uptimes[0].start < 0:
-                await server.up()
+                await server.open()
 
-    def start_server(self, server: Server) -> None:
-        task = self.loop.create_task(server.up())
-        self.opening.add(task)
-        task.add_done_callback(self.opening.discard)
+    def open_server(self, server: Server) -> None:
+        """Open a server in the background."""
+        task = self.loop.create_task(server.open())
+        self.open_tasks.add(task)
+        task.add_done_callback(self.open_tasks.discard)
 
     def scheduled_actions(self, start: float) -> list[TimedAction]:
-        """What happens to the servers in the schedule."""
-        self.zero = self.loop.time()  # called as it begins
-        steps: list[TimedAction] = []
+        """Return the starts, ends and hangs of servers; called when the schedule begins."""
+        self.schedule_start = self.loop.time()
+        actions: list[TimedAction] = []
         for server in self.servers.values():
-            for began in [r.start for r in server.timeline.uptimes if r.start >= 0]:
-                steps.append((began, partial(self.start_server, server)))
-            steps += [(r.end, server.down) for r in server.timeline.uptimes if r.end < math.inf]
+            for began in [u.start for u in server.timeline.uptimes if u.start >= 0]:
+                actions.append((began, partial(self.open_server, server)))
+            actions += [(u.end, server.close) for u in server.timeline.uptimes if u.end < math.inf]
             for hang, resume in server.timeline.hangs:
-                steps += [(hang, server.hang), (resume, server.resume)]
-        return steps
+                actions += [(hang, server.hang), (resume, server.resume)]
+        return actions
 
-    def down(self) -> None:
-        for task in self.opening:
+    def close(self) -> None:
+        """Close all servers and cancel those that are opening."""
+        for task in self.open_tasks:
             task.cancel()
         for server in self.servers.values():
-            server.down()
+            server.close()
 
     def role(self) -> Role:
+        """Return the figures of all servers."""
         meter, fleet = self.meter, self.plan.experiment.fleet
         metrics = {"cpu.share": meter.cpu()}
         for name in ("requests", "hits", "misses", "busy", "writes", "syntax", "cut", "handshakes"):
             metrics[name] = meter.rate(name)
-        flat = [n for counts in self.connections for n in counts]
-        metrics["connections"] = mean_with_range([float(n) for n in flat], "connections")
-        cold = [s for s in self.servers.values() if any(r.start >= 0 for r in s.timeline.uptimes)]
+        samples = [n for counts in self.connection_counts for n in counts]
+        metrics["connections"] = mean_with_range([float(n) for n in samples], "connections")
+        cold = [s for s in self.servers.values() if any(u.start >= 0 for u in s.timeline.uptimes)]
         if cold:
-            fullest = [s.fullest for s in cold]
-            metrics["cold.window"] = Metric(max(fullest), "share", min(fullest), max(fullest), len(fullest))
-            metrics["cold.window.sent"] = mean_with_range([float(s.fullest_sent) for s in cold], "requests")
+            peaks = [s.peak_window_share for s in cold]
+            metrics["cold.window"] = Metric(max(peaks), "share", min(peaks), max(peaks), len(peaks))
+            metrics["cold.window.sent"] = mean_with_range(
+                [float(s.peak_window_requests) for s in cold], "requests"
+            )
         metrics["capacity.warm"] = Metric(self.capacity, "1/s")
         return Role(fleet.servers, metrics, dict(meter.per_second))
 
@@ -327,17 +359,17 @@
 async def run(
     plan: Plan, ready: Callable[[], None], began: Awaitable[float], ended: asyncio.Event
 ) -> dict[str, Role]:
-    """Be all cache servers until the schedule is over or `ended`; answers with the role `caches`."""
-    farm = Farm(plan)
-    await farm.up()
+    """Run all cache servers until the schedule is over or `ended` is set, and return the role `caches`."""
+    cluster = CacheCluster(plan)
+    await cluster.open()
     ready()
     roles: dict[str, Role] = {}
 
     def finish() -> None:
-        roles["caches"] = farm.role()
+        roles["caches"] = cluster.role()
 
     try:
-        await run_schedule(plan, began, ended, farm.meter, farm.scheduled_actions, finish=finish)
+        await run_schedule(plan, began, ended, cluster.meter, cluster.scheduled_actions, finish=finish)
     finally:
-        farm.down()
+        cluster.close()
     return roles
--- a/fleetlab/standins/origin.py
+++ b/fleetlab/standins/origin.py
@@ -13,7 +13,7 @@
 
 from fleetlab.plan import Plan
 from fleetlab.results import Role
-from fleetlab.standins.caches import ID, SIGMA, Bucket, value_for, zone_of_request
+from fleetlab.standins.caches import LATENCY_SIGMA, REQUEST_ID, TokenBucket, make_value, zone_of_request
 from fleetlab.standins.lifecycle import Meter, TimedAction, host_port, reset_connection, run_schedule
 from fleetlab.standins.schedule import is_partitioned, partitions
 
@@ -75,7 +75,7 @@
             self.answer(200, b"ok")
         elif self.request.method not in (b"GET", b"PUT") or self.body > MOST_BODY:
             self.answer(400, b"")
-        elif not ID.fullmatch(identity) or not INFO.fullmatch(info) or len(self.request.target) < 2:
+        elif not REQUEST_ID.fullmatch(identity) or not INFO.fullmatch(info) or len(self.request.target) < 2:
             self.origin.meter.counts["malformed"] += 1
             self.answer(400, b"")
         else:
@@ -114,7 +114,7 @@
         requests = plan.experiment.requests
         share = min(1.0, requests.writes + (1 - requests.hits))
         self.capacity = ROOM * share * plan.experiment.fleet.real * requests.rate
-        self.bucket = Bucket(self.loop.time())
+        self.bucket = TokenBucket(self.loop.time())
         self.partitions = partitions(plan)
         self.zero = math.inf
         self.meter.gauges["connections"] = lambda: float(len(self.links))
@@ -126,14 +126,14 @@
         zone = zone_of_request(identity, self.plan.experiment.fleet.zones)
         if is_partitioned(self.partitions, 0, zone, now - self.zero):  # it stands in the first zone
             counts["cut"] += 1
-        elif not self.bucket.take(now, self.capacity):
+        elif not self.bucket.try_take(now, self.capacity):
             counts["busy"] += 1
             link.answer(503, b"", not_started=True)
         else:
             counts["writes" if write else "reads"] += 1
             median = SLOWER * self.plan.experiment.requests.latency_ms / 1e3
-            delay = self.random.lognormvariate(math.log(median), SIGMA)
-            body = identity + b" written" if write else value_for(identity, key)
+            delay = self.random.lognormvariate(math.log(median), LATENCY_SIGMA)
+            body = identity + b" written" if write else make_value(identity, key)
             self.loop.call_later(delay, link.answer, 200, body)
 
     def scheduled_actions(self, start: float) -> list[TimedAction]:
