--- a/fleetlab/standins/clients.py
+++ b/fleetlab/standins/clients.py
@@ -1,7 +1,8 @@
-"""Clients of the real routers, and the front that hands out connections (PROTOCOL, Clients to routers).
+"""Stand-in for the clients and the load balancer in front of the real routers (PROTOCOL, Clients to routers).
 
-Requests come at their times whether earlier ones are answered or not, and their times count from then. The
-first four digits of an id are the number of the router asked, so that other stand-ins can tell its zone.
+The load is open-loop: requests start at random times whether earlier ones are answered or not, and their
+latency counts from then. The first four digits of a request id are the router's number, from which other
+stand-ins derive its zone.
 """
 
 from __future__ import annotations
@@ -22,136 +23,155 @@
 from fleetlab.standins.lifecycle import Meter, TimedAction, host_port, percentiles, run_schedule
 from fleetlab.standins.schedule import router_outages
 
-RETRIES = 2  # after a refusal
-PAUSE = 0.05  # before a retry, where the refusal names no time
-MOST_LINKS = 300  # of a router: clients hold at most a third of its descriptors
-DIAL = 1.0  # seconds
-NOTICED = 2.0  # seconds until the front takes out a router that refuses connections
-HANDED = 0.3  # seconds for which a router that is told to end still gets new connections
-AFTER_END = 1.0  # seconds after that word until the front asks again whether it is up
-ASK_AGAIN = 0.1  # seconds between PINGs
-CROSSED = 0.05  # seconds in which a close can have crossed a request on a kept connection
-VALUE = b"v" * 200
-NOT_YET = object()
+MAX_RETRIES = 2  # after BUSY
+RETRY_DELAY_S = 0.05  # if BUSY names no delay
+MAX_CONNECTIONS = 300  # to a router; clients use at most a third of its descriptors
+DIAL_TIMEOUT_S = 1.0
+FAILURE_DETECTION_S = 2.0  # until the load balancer takes a router that refuses connections out of rotation
+DEREGISTRATION_S = 0.3  # from SIGTERM of a planned restart until a router gets no new connections
+HEALTH_CHECK_PAUSE_S = 1.0  # from that SIGTERM until the next health check
+HEALTH_CHECK_INTERVAL_S = 0.1
+CLOSE_RACE_S = 0.05  # an idle connection that ends within this time of a request was closed before it arrived
+WRITE_VALUE = b"v" * 200
+INCOMPLETE = object()
 
 
 @dataclass(slots=True)
 class Request:
-    """One request, with all its tries; times on the loop's clock."""
+    """One request with all its attempts."""
 
-    kind: dict[str, Any]  # its class, from the settings
+    request_class: dict[str, Any]  # from the settings
     key: bytes
-    born: float
-    token: bytes = b""  # the idempotency key of a write
-    ids: list[bytes] = field(default_factory=list)
-
-    def command(self, left: float) -> bytes:
-        """The last try's bytes."""
-        info = b"c=%b,d=%d" % (self.kind["name"].encode(), max(1, int(left * 1000)))
-        parts: tuple[Any, ...] = (b"C.GET", self.key, self.ids[-1], info)
-        if self.token:
-            parts = (b"C.SET", self.key, self.ids[-1], info + b",k=" + self.token, VALUE)
+    created_at: float  # event loop time
+    idempotency_key: bytes = b""  # of a write; empty for a read
+    attempt_ids: list[bytes] = field(default_factory=list)
+
+    def command(self, time_left: float) -> bytes:
+        """Return the encoded command of the latest attempt."""
+        fields = b"c=%b,d=%d" % (self.request_class["name"].encode(), max(1, int(time_left * 1000)))
+        parts: tuple[Any, ...] = (b"C.GET", self.key, self.attempt_ids[-1], fields)
+        if self.idempotency_key:
+            parts = (
+                b"C.SET",
+                self.key,
+                self.attempt_ids[-1],
+                fields + b",k=" + self.idempotency_key,
+                WRITE_VALUE,
+            )
         return bytes(hiredis.pack_command(parts))
 
 
-class Link(asyncio.Protocol):
-    """A client's connection, with one command at a time."""
+class ClientConnection(asyncio.Protocol):
+    """A client's connection to a router, with one command at a time."""
 
-    def __init__(self, router: Router) -> None:
+    def __init__(self, router: RouterEndpoint) -> None:
         self.router = router
-        self.reader = hiredis.Reader(notEnoughData=NOT_YET)
-        self.kind = b""  # the first byte of the answer: the parser does not tell strings apart
-        self.reply: asyncio.Future[tuple[bytes, Any] | None] | None = None
-        self.lost = False
+        self.reader = hiredis.Reader(notEnoughData=INCOMPLETE)
+        self.first_byte = b""  # type of the answer, because the parser does not distinguish kinds of strings
+        self.pending_reply: asyncio.Future[tuple[bytes, Any] | None] | None = None
+        self.is_closed = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Register the connection."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
-        self.router.links.add(self)
+        self.router.connections.add(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.lost = True
-        self.router.links.discard(self)
+        """Unregister the connection and end a command in flight without an answer."""
+        self.is_closed = True
+        self.router.connections.discard(self)
         if self in self.router.idle:
             self.router.idle.remove(self)
-        if self.reply is not None and not self.reply.done():
-            self.reply.set_result(None)
+        if self.pending_reply is not None and not self.pending_reply.done():
+            self.pending_reply.set_result(None)
 
     def data_received(self, data: bytes) -> None:
-        self.kind = self.kind or data[:1]
+        """Parse the answer; one that is malformed or belongs to no command aborts the connection."""
+        self.first_byte = self.first_byte or data[:1]
         self.reader.feed(data)
         try:
             message = self.reader.gets()
         except hiredis.ProtocolError:
             self.transport.abort()
             return
-        if message is NOT_YET:
+        if message is INCOMPLETE:
             return
-        if self.reply is None or self.reply.done():  # nobody asked
+        if self.pending_reply is None or self.pending_reply.done():  # no command is in flight
             self.router.clients.meter.counts["unasked"] += 1
             self.transport.abort()
             return
-        self.reply.set_result((self.kind, message))
+        self.pending_reply.set_result((self.first_byte, message))
 
-    async def ask(self, command: bytes, left: float) -> tuple[bytes, Any] | None:
-        """The answer's first byte and the answer; None where the connection ends. Raises TimeoutError."""
-        self.kind = b""
-        self.reply = asyncio.get_running_loop().create_future()
+    async def send(self, command: bytes, time_left: float) -> tuple[bytes, Any] | None:
+        """Send a command and return its answer's first byte and the answer; None if the connection ends.
+
+        Raises TimeoutError after `time_left` seconds.
+        """
+        self.first_byte = b""
+        self.pending_reply = asyncio.get_running_loop().create_future()
         self.transport.write(command)
         try:
-            async with asyncio.timeout(left):
-                return await self.reply
+            async with asyncio.timeout(time_left):
+                return await self.pending_reply
         finally:
-            if not self.reply.done() or self.reply.cancelled() or self.reply.result() is None:
-                self.transport.abort()  # this client has gone away
+            if (
+                not self.pending_reply.done()
+                or self.pending_reply.cancelled()
+                or self.pending_reply.result() is None
+            ):
+                self.transport.abort()  # a client that gives up closes its connection
 
 
-class Router:
-    """A router as its clients see it."""
+class RouterEndpoint:
+    """A router as the clients and the load balancer see it."""
 
     def __init__(self, clients: Clients, number: int) -> None:
         self.clients = clients
         self.number = number
         self.address = host_port(clients.plan.addresses.clients(number))
-        self.links: set[Link] = set()
-        self.idle: list[Link] = []
-        self.dials = 0
-        self.usable = asyncio.Event()  # the front hands out connections to it
-        self.quiet_until = 0.0  # on the loop's clock, before which the front does not ask for it
-        self.doubted = False
-
-    async def dial(self) -> Link:
-        self.dials += 1
+        self.connections: set[ClientConnection] = set()
+        self.idle: list[ClientConnection] = []
+        self.open_dials = 0
+        self.healthy = asyncio.Event()  # set while the load balancer assigns new connections to it
+        self.checks_paused_until = 0.0  # event loop time
+        self.failure_suspected = False
+
+    async def dial(self) -> ClientConnection:
+        """Open a connection. Raises OSError; a time-out is one."""
+        self.open_dials += 1
         try:
-            async with asyncio.timeout(DIAL):
-                made = await self.clients.loop.create_connection(lambda: Link(self), *self.address)
-                return made[1]
+            async with asyncio.timeout(DIAL_TIMEOUT_S):
+                created = await self.clients.loop.create_connection(
+                    lambda: ClientConnection(self), *self.address
+                )
+                return created[1]
         finally:
-            self.dials -= 1
+            self.open_dials -= 1
 
-    async def tend(self) -> None:
-        """Ask a router that is out whether it is up."""
+    async def check_health(self) -> None:
+        """Send PING to a router that is out of rotation, and put it back once it answers; never returns."""
         while True:
-            if not self.usable.is_set() and self.clients.loop.time() >= self.quiet_until:
-                with suppress(OSError):  # a time-out is one
-                    link = await self.dial()
-                    answer = await link.ask(b"*1\r\n$4\r\nPING\r\n", DIAL)
-                    link.transport.close()
+            if not self.healthy.is_set() and self.clients.loop.time() >= self.checks_paused_until:
+                with suppress(OSError):  # includes TimeoutError
+                    connection = await self.dial()
+                    answer = await connection.send(b"*1\r\n$4\r\nPING\r\n", DIAL_TIMEOUT_S)
+                    connection.transport.close()
                     if answer == (b"+", b"PONG"):
-                        self.usable.set()
-                        self.doubted = False
-            await asyncio.sleep(ASK_AGAIN)
+                        self.healthy.set()
+                        self.failure_suspected = False
+            await asyncio.sleep(HEALTH_CHECK_INTERVAL_S)
 
-    def refused(self) -> None:
-        """A connection has been refused: the front will notice."""
-        if not self.doubted and self.usable.is_set():
-            self.doubted = True
-            self.clients.loop.call_later(NOTICED, self.usable.clear)
+    def report_refused(self) -> None:
+        """Take the router out of rotation after `FAILURE_DETECTION_S`, as it refused a connection."""
+        if not self.failure_suspected and self.healthy.is_set():
+            self.failure_suspected = True
+            self.clients.loop.call_later(FAILURE_DETECTION_S, self.healthy.clear)
 
-    def ends(self) -> None:
-        """It has been told to end, and the front knows."""
-        self.usable.clear()
-        self.quiet_until = self.clients.loop.time() + AFTER_END - HANDED
+    def deregister(self) -> None:
+        """Take the router out of rotation for a planned restart, and pause its health checks."""
+        self.healthy.clear()
+        self.checks_paused_until = self.clients.loop.time() + HEALTH_CHECK_PAUSE_S - DEREGISTRATION_S
 
 
 class Clients:
@@ -161,169 +181,184 @@
         self.plan = plan
         self.loop = asyncio.get_running_loop()
         self.meter = Meter()
-        self.random = Random(f"clients {plan.seed}")
+        self.rng = Random(f"clients {plan.seed}")
         requests = plan.experiment.requests
-        self.kinds = {c["name"]: c for c in settings_of(plan.experiment, 0)["classes"]}
-        self.shares = list(accumulate(1 / (n + 1) ** requests.zipf for n in range(requests.keys)))
-        self.routers = [Router(self, n) for n in range(plan.experiment.fleet.real)]
+        self.classes = {c["name"]: c for c in settings_of(plan.experiment, 0)["classes"]}
+        self.cumulative_weights = list(accumulate(1 / (n + 1) ** requests.zipf for n in range(requests.keys)))
+        self.routers = [RouterEndpoint(self, n) for n in range(plan.experiment.fleet.real)]
         self.tasks: set[asyncio.Task[None]] = set()
-        self.times: list[float] = []
-        self.meter.gauges["connections"] = lambda: float(sum(len(r.links) for r in self.routers))
+        self.latencies: list[float] = []
+        self.meter.gauges["connections"] = lambda: float(sum(len(r.connections) for r in self.routers))
 
-    def spawn(self, work: Any) -> None:
-        task = self.loop.create_task(work)
+    def spawn(self, coroutine: Any) -> None:
+        """Run a coroutine in the background until it ends or the clients are closed."""
+        task = self.loop.create_task(coroutine)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    def make(self, born: float) -> Request:
-        """A new request."""
-        key = b"k%d" % self.random.choices(range(len(self.shares)), cum_weights=self.shares)[0]
-        if self.random.random() >= self.plan.experiment.requests.writes:
-            return Request(self.kinds["read"], key, born)
-        kind = self.kinds["book" if self.random.random() < 2 / 3 else "lock"]
-        return Request(kind, key, born, b"%016x" % self.random.getrandbits(64))
-
-    async def stream(self, router: Router, start: float) -> None:
-        """A router's requests, at their times."""
+    def new_request(self, created_at: float) -> Request:
+        """Return a random request: a read, or a write of class `book` (two of three) or `lock`."""
+        key = (
+            b"k%d"
+            % self.rng.choices(range(len(self.cumulative_weights)), cum_weights=self.cumulative_weights)[0]
+        )
+        if self.rng.random() >= self.plan.experiment.requests.writes:
+            return Request(self.classes["read"], key, created_at)
+        request_class = self.classes["book" if self.rng.random() < 2 / 3 else "lock"]
+        return Request(request_class, key, created_at, b"%016x" % self.rng.getrandbits(64))
+
+    async def send_requests(self, router: RouterEndpoint, start: float) -> None:
+        """Start a router's requests at random times, at the mean rate of the experiment."""
         rate, seconds = self.plan.experiment.requests.rate, self.plan.experiment.seconds
         if rate <= 0:
             return
-        zero = self.loop.time() + start - time.time()
-        at = self.random.expovariate(rate)
+        schedule_start = self.loop.time() + start - time.time()
+        at = self.rng.expovariate(rate)
         while at < seconds:
-            await asyncio.sleep(max(0.0, zero + at - self.loop.time()))
-            self.spawn(self.play(self.choose(router), self.make(zero + at)))
-            at += self.random.expovariate(rate)
+            await asyncio.sleep(max(0.0, schedule_start + at - self.loop.time()))
+            self.spawn(self.run_request(self.choose_router(router), self.new_request(schedule_start + at)))
+            at += self.rng.expovariate(rate)
 
-    def choose(self, router: Router) -> Router:
-        """The router, or one of the others while the front has taken it out."""
-        if router.usable.is_set():
+    def choose_router(self, router: RouterEndpoint) -> RouterEndpoint:
+        """Return the router, or a random healthy one while it is out of rotation."""
+        if router.healthy.is_set():
             return router
-        return self.random.choice([r for r in self.routers if r.usable.is_set()] or [router])
+        return self.rng.choice([r for r in self.routers if r.healthy.is_set()] or [router])
 
-    async def play(self, router: Router, request: Request) -> None:
-        """Ask until it is answered, refused too often or its time is over; count how it went."""
+    async def run_request(self, router: RouterEndpoint, request: Request) -> None:
+        """Attempt a request until it is answered, refused too often or timed out, and count the result."""
         self.meter.counts["requests"] += 1
-        end = request.born + request.kind["giveUp"]
-        how = "failed"
-        for _ in range(1 + RETRIES):
-            request.ids.append(b"%04x%012x" % (router.number, self.random.getrandbits(48)))
+        deadline = request.created_at + request.request_class["giveUp"]
+        result = "failed"
+        for _ in range(1 + MAX_RETRIES):
+            request.attempt_ids.append(b"%04x%012x" % (router.number, self.rng.getrandbits(48)))
             try:
-                answer = await self.ask(router, request, end)
+                answer = await self.attempt(router, request, deadline)
             except TimeoutError:
                 self.meter.counts["timeouts"] += 1
                 break
-            pause = self.pause(answer)
-            if pause is None:
-                how = self.judge(request, answer)
+            delay_s = self.retry_delay_s(answer)
+            if delay_s is None:
+                result = self.classify(request, answer)
                 break
             self.meter.counts["busy"] += 1
-            if self.loop.time() + pause >= end:
+            if self.loop.time() + delay_s >= deadline:
                 break
-            await asyncio.sleep(pause)
-            router = self.choose(router)
-        self.meter.counts[how] += 1
-
-    async def ask(self, router: Router, request: Request, end: float) -> tuple[bytes, Any] | None:
-        """One try, sent once more where a close on a kept connection crossed it. Raises TimeoutError."""
-        for again in (False, True):
-            kept = bool(router.idle) and not again
-            if not kept and len(router.links) + router.dials >= MOST_LINKS:
+            await asyncio.sleep(delay_s)
+            router = self.choose_router(router)
+        self.meter.counts[result] += 1
+
+    async def attempt(
+        self, router: RouterEndpoint, request: Request, deadline: float
+    ) -> tuple[bytes, Any] | None:
+        """Make one attempt, which is sent again if the router closed an idle connection just before it.
+
+        Returns None if there is no answer. Raises TimeoutError at `deadline`.
+        """
+        for is_resend in (False, True):
+            is_reused = bool(router.idle) and not is_resend
+            if not is_reused and len(router.connections) + router.open_dials >= MAX_CONNECTIONS:
                 self.meter.counts["overfull"] += 1
                 return None
             try:
-                link = router.idle.pop() if kept else await router.dial()
+                connection = router.idle.pop() if is_reused else await router.dial()
             except OSError as e:
                 self.meter.counts["unreachable"] += 1
                 if not isinstance(e, TimeoutError):
-                    router.refused()
+                    router.report_refused()
                 return None
-            sent = self.loop.time()
-            if sent >= end:
-                router.idle.append(link)
+            sent_at = self.loop.time()
+            if sent_at >= deadline:
+                router.idle.append(connection)
                 raise TimeoutError
-            answer = await link.ask(request.command(end - sent), end - sent)
+            answer = await connection.send(request.command(deadline - sent_at), deadline - sent_at)
             if answer is not None:
-                if not link.lost:
-                    router.idle.append(link)
+                if not connection.is_closed:
+                    router.idle.append(connection)
                 return answer
             self.meter.counts["resets"] += 1
-            crossed = kept and not link.kind and self.loop.time() - sent < CROSSED
-            if not crossed or request.kind["effect"] == "single_shot":
+            close_raced = (
+                is_reused and not connection.first_byte and self.loop.time() - sent_at < CLOSE_RACE_S
+            )
+            if not close_raced or request.request_class["effect"] == "single_shot":
                 return None
         return None
 
-    def pause(self, answer: tuple[bytes, Any] | None) -> float | None:
-        """How long to wait before the next try; None where the answer is no refusal."""
+    def retry_delay_s(self, answer: tuple[bytes, Any] | None) -> float | None:
+        """Return the delay before a retry, which a BUSY answer may name; None if the answer is not BUSY."""
         if answer is None or not isinstance(answer[1], hiredis.ReplyError):
             return None
         words = str(answer[1]).split()
         if words[:1] != ["BUSY"]:
             return None
-        told = int(words[1]) / 1000 if len(words) > 1 and words[1].isdigit() else PAUSE
-        longest: float = 2.0  # limits.maxRetryAfter of the settings
-        return min(longest, told)
+        delay_s = int(words[1]) / 1000 if len(words) > 1 and words[1].isdigit() else RETRY_DELAY_S
+        max_delay_s: float = 2.0  # limits.maxRetryAfter of the settings
+        return min(max_delay_s, delay_s)
 
-    def judge(self, request: Request, answer: tuple[bytes, Any] | None) -> str:
-        """Served, late or failed; an answer counts only if it was made for this request."""
+    def classify(self, request: Request, answer: tuple[bytes, Any] | None) -> str:
+        """Return `served`, `late` or `failed`; an answer that was made for another request is a failure."""
         if answer is None:
             return "failed"
-        first, value = answer
-        if first == b"*" and isinstance(value, list) and value:
+        first_byte, value = answer
+        if first_byte == b"*" and isinstance(value, list) and value:
             value = value[0]
-        if first not in (b"$", b"*") or not isinstance(value, bytes):
+        if first_byte not in (b"$", b"*") or not isinstance(value, bytes):
             return "failed"
-        if not value.startswith(tuple(request.ids)):
+        if not value.startswith(tuple(request.attempt_ids)):
             self.meter.counts["foreign"] += 1
             return "failed"
-        took = self.loop.time() - request.born
-        self.times.append(took)
-        return "served" if took <= request.kind["aim"] else "late"
+        latency_s = self.loop.time() - request.created_at
+        self.latencies.append(latency_s)
+        return "served" if latency_s <= request.request_class["aim"] else "late"
 
     def scheduled_actions(self, start: float) -> list[TimedAction]:
-        """Begin all streams; the front knows of planned restarts."""
+        """Start the requests of all routers, and return the deregistrations before planned restarts."""
         for router in self.routers:
-            self.spawn(self.stream(router, start))
-        ends = [a for a in router_outages(self.plan) if a.kind == "restart" and a.router < len(self.routers)]
-        return [(a.start + HANDED, self.routers[a.router].ends) for a in ends]
+            self.spawn(self.send_requests(router, start))
+        restarts = [
+            o for o in router_outages(self.plan) if o.kind == "restart" and o.router < len(self.routers)
+        ]
+        return [(o.start + DEREGISTRATION_S, self.routers[o.router].deregister) for o in restarts]
 
     def role(self) -> Role:
-        """Also what was answered after the schedule, of what was asked within it."""
+        """Return the figures of all clients, with answers that came after the schedule's end."""
         meter, counts = self.meter, self.meter.counts
-        done = [counts[name] for name in ("served", "late", "failed")]
-        total = int(sum(done))
+        completed = [counts[name] for name in ("served", "late", "failed")]
+        total = int(sum(completed))
         metrics = {"cpu.share": meter.cpu(), "requests": meter.rate("requests")}
-        for name, value in zip(("served", "late", "failed"), done, strict=True):
+        for name, value in zip(("served", "late", "failed"), completed, strict=True):
             metrics[name] = Metric(value / total if total else 0.0, "share", count=total)
         for name in ("foreign", "unasked", "busy", "timeouts", "unreachable", "resets", "overfull"):
             metrics[name] = Metric(counts[name], "events")
         metrics["open"] = Metric(counts["requests"] - total, "requests")
-        metrics |= percentiles("latency", self.times, (50, 95, 99))
+        metrics |= percentiles("latency", self.latencies, (50, 95, 99))
         return Role(len(self.routers), metrics, dict(meter.per_second))
 
     def close(self) -> None:
+        """Cancel all requests and health checks, and abort all connections."""
         for task in list(self.tasks):
             task.cancel()
         for router in self.routers:
-            for link in list(router.links):
-                link.transport.abort()
+            for connection in list(router.connections):
+                connection.transport.abort()
 
 
 async def run(
     plan: Plan, ready: Callable[[], None], began: Awaitable[float], ended: asyncio.Event
 ) -> dict[str, Role]:
-    """Be the clients until the schedule is over or `ended`; answers with the role `clients`.
+    """Run the clients until the schedule is over or `ended` is set, and return the role `clients`.
 
-    They are ready once all real routers are, or after `settle`: a router is used from its first +PONG on.
+    They are ready once all real routers are, or after `settle` seconds. A router gets requests once it has
+    answered PING.
     """
     clients = Clients(plan)
     for router in clients.routers:
-        clients.spawn(router.tend())
-    limit = clients.loop.time() + plan.experiment.settle
-    while not ended.is_set() and clients.loop.time() < limit:
-        if all(r.usable.is_set() for r in clients.routers):
+        clients.spawn(router.check_health())
+    deadline = clients.loop.time() + plan.experiment.settle
+    while not ended.is_set() and clients.loop.time() < deadline:
+        if all(r.healthy.is_set() for r in clients.routers):
             break
-        await asyncio.sleep(ASK_AGAIN)
+        await asyncio.sleep(HEALTH_CHECK_INTERVAL_S)
     ready()
     try:
         await run_schedule(plan, began, ended, clients.meter, clients.scheduled_actions)
--- a/fleetlab/standins/origin.py
+++ b/fleetlab/standins/origin.py
@@ -129,7 +129,7 @@
     def handle_request(
         self, connection: RouterConnection, write: bool, key: bytes, request_id: bytes
     ) -> None:
-        """Answer a request: late by a random latency, with 503 past the capacity, never across a partition."""
+        """Answer a request after a random latency, with 503 past the capacity, never across a partition."""
         counts, now = self.meter.counts, self.loop.time()
         counts["requests"] += 1
         zone = zone_of_request(request_id, self.plan.experiment.fleet.zones)
