--- a/fleetlab/standins/__init__.py
+++ b/fleetlab/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins, from the protocol page: discovery, cache servers, origin, clients, the network of peers."""
+"""Stand-ins that speak the protocols of discovery, cache servers, origin, clients and the peer network."""
