--- a/fleetlab/standins/network.py
+++ b/fleetlab/standins/network.py
@@ -21,7 +21,7 @@
 from fleetlab.standins.lifecycle import Meter, TimedAction, host_port, run_schedule
 from fleetlab.standins.schedule import Partition, is_partitioned, loss_share_at, partitions
 
-MAX_DATAGRAM_BYTES = 256
+MAX_DATAGRAM_BYTES = 256  # longer ones are dropped
 READ_BATCH = 64  # most datagrams read from a socket before the event loop serves other sockets
 RECEIVE_BUFFER_BYTES = 4 * 1024 * 1024  # requested for the broadcast socket
 
