--- a/fleetlab/capacity.py
+++ b/fleetlab/capacity.py
@@ -24,7 +24,16 @@
 from brackenwalk.telling import DATAGRAM, HEARD, TELL, TELLERS
 from fleetlab.experiment import Experiment, Fleet
 from fleetlab.plan import Addresses, Plan, entry_of, first_list
-from fleetlab.slopes import AFTER, BEFORE, LEAST_PLAYS, RATES, Fit, Point, Value, choose
+from fleetlab.slopes import (
+    AFTER_SUFFIX,
+    BEFORE_SUFFIX,
+    MIN_PLAYS,
+    RATE_SETTINGS,
+    Fit,
+    Point,
+    Value,
+    choose_fit,
+)
 
 FRAME = Path(__file__).with_name("capacity.md.in")
 SIZES = ("today", "full", "users")
@@ -44,7 +53,7 @@
 
     def axes(self) -> dict[str, float]:
         """As `slopes` names them."""
-        both = dict.fromkeys(RATES.values(), self.rate)
+        both = dict.fromkeys(RATE_SETTINGS.values(), self.rate)
         return {"routers": self.routers, "servers": self.servers, **both}
 
 
@@ -162,15 +171,15 @@
     low: float
     high: float
     marks: list[str] = field(default_factory=list)
-    fits: list[Fit] = field(default_factory=list)
+    sources: list[Fit] = field(default_factory=list)
     formula: str = ""
     partial: bool = False
 
     def text(self) -> str:
         """As a cell of a table."""
-        inside = [] if self.formula and not self.fits else [f"{number(self.low)} to {number(self.high)}"]
+        inside = [] if self.formula and not self.sources else [f"{number(self.low)} to {number(self.high)}"]
         inside += [", ".join(self.marks)] if self.marks else []
-        few = "†" if any(f.few for f in self.fits) else ""
+        few = "†" if any(f.has_few_plays for f in self.sources) else ""
         told = f" ({'; '.join(inside)})" if inside else ""
         return f"{'at least ' if self.partial else ''}{number(self.value)}{few}{told}"
 
@@ -198,25 +207,25 @@
     return f"{value:,.0f}" if abs(value) >= 1000 else f"{value:.3g}"
 
 
-def _cell(line: Fit, value: Value, scale: float = 1.0) -> Cell:
+def _cell(fit: Fit, value: Value, scale: float = 1.0) -> Cell:
     marks = ["measured"] if value.measured else []
-    if value.beyond > 1:
-        marks.append(f"×{number(value.beyond)} beyond")
-    for axis, held in sorted(value.held.items()):
+    if value.extrapolation > 1:
+        marks.append(f"×{number(value.extrapolation)} beyond")
+    for axis, held in sorted(value.held_axes.items()):
         marks.append(f"at {number(held)} {axis if '.' not in axis else 'requests/s'}")
-    marks += [f"varied with {a}" for a in line.together]
-    if line.deaf:
-        marks.append(f"a mean over hollow routers of which {number(line.listening)} heard peers")
-    marks += [f"while {f}" for f in line.faults]
+    marks += [f"varied with {a}" for a in fit.collinear_axes]
+    if fit.is_understated:
+        marks.append(f"a mean over hollow routers of which {number(fit.listening)} heard peers")
+    marks += [f"while {f}" for f in fit.faults]
     ends = scale * value.value, scale * value.low, scale * value.high
-    return Cell(*ends, marks, [line], partial=line.deaf)
+    return Cell(*ends, marks, [fit], partial=fit.is_understated)
 
 
 def measured(*wanted: tuple[str, str], steady: bool = True, scale: float = 1.0) -> Figures:
     """The first of these roles' metrics that was measured."""
 
-    def cell(lines: Sequence[Fit], size: Size) -> Cell | None:
-        got = choose(lines, wanted, size.axes(), steady)
+    def cell(fits: Sequence[Fit], size: Size) -> Cell | None:
+        got = choose_fit(fits, wanted, size.axes(), steady)
         return None if got is None else _cell(*got, scale)
 
     return cell
@@ -225,13 +234,13 @@
 def scaled(of: Figures, by: Callable[[Size], float], text: str) -> Figures:
     """A figure times what follows from the size."""
 
-    def cell(lines: Sequence[Fit], size: Size) -> Cell | None:
-        got = of(lines, size)
+    def cell(fits: Sequence[Fit], size: Size) -> Cell | None:
+        got = of(fits, size)
         if got is None:
             return None
         factor = by(size)
         ends = factor * got.value, factor * got.low, factor * got.high
-        return Cell(*ends, got.marks, got.fits, text, got.partial)
+        return Cell(*ends, got.marks, got.sources, text, got.partial)
 
     return cell
 
@@ -239,8 +248,8 @@
 def total(text: str, parts: Sequence[Figures]) -> Figures:
     """A sum; a lower bound where one of its parts was not measured."""
 
-    def cell(lines: Sequence[Fit], size: Size) -> Cell | None:
-        cells = [part(lines, size) for part in parts]
+    def cell(fits: Sequence[Fit], size: Size) -> Cell | None:
+        cells = [part(fits, size) for part in parts]
         return _sum([c for c in cells if c is not None], len(parts), text)
 
     return cell
@@ -260,28 +269,32 @@
     return Cell(
         *known,
         marks,
-        [f for c in cells for f in c.fits],
+        [f for c in cells for f in c.sources],
         formula,
         len(cells) < wanted or any(c.partial for c in cells),
     )
 
 
-def control_share(lines: Sequence[Fit], size: Size) -> Cell | None:
+def control_share(fits: Sequence[Fit], size: Size) -> Cell | None:
     """Share of a core from the module alone: events of each kind a second, times what one takes."""
     parts = []
     for kind in KINDS:
-        rate = measured(("module", f"rate.{kind}"), ("hollow", f"rate.{kind}"))(lines, size)
-        cost = measured(("module", f"cpu.us.{kind}"), ("hollow", f"cpu.us.{kind}"))(lines, size)
+        rate = measured(("module", f"rate.{kind}"), ("hollow", f"rate.{kind}"))(fits, size)
+        cost = measured(("module", f"cpu.us.{kind}"), ("hollow", f"cpu.us.{kind}"))(fits, size)
         if rate is not None and cost is not None:
-            if kind == "tell" and (plain := measured(("module", "cpu.us.request"))(lines, size)) is not None:
+            if kind == "tell" and (plain := measured(("module", "cpu.us.request"))(fits, size)) is not None:
                 # it is the whole of a request that tells
                 less = plain.value
                 ends = [max(0.0, end - less) for end in (cost.value, cost.low, cost.high)]
-                cost = Cell(ends[0], ends[1], ends[2], cost.marks, cost.fits)
+                cost = Cell(ends[0], ends[1], ends[2], cost.marks, cost.sources)
             ends = [max(0.0, rate.low) * max(0.0, cost.low), rate.high * cost.high]
             marks = sorted({*rate.marks, *cost.marks} - {"measured"})
             both = Cell(
-                rate.value * cost.value / 1e6, ends[0] / 1e6, ends[1] / 1e6, marks, rate.fits + cost.fits
+                rate.value * cost.value / 1e6,
+                ends[0] / 1e6,
+                ends[1] / 1e6,
+                marks,
+                rate.sources + cost.sources,
             )
             parts.append(both)
     return _sum(parts, len(KINDS), "the sum of rate.KIND × cpu.us.KIND, of tell what is more than a request")
@@ -290,7 +303,7 @@
 def formula(text: str, of: Callable[[Size], float]) -> Figures:
     """What code or protocol say, with no run."""
 
-    def cell(lines: Sequence[Fit], size: Size) -> Cell | None:
+    def cell(fits: Sequence[Fit], size: Size) -> Cell | None:
         value = of(size)
         return Cell(value, value, value, formula=text)
 
@@ -302,7 +315,7 @@
     return [(role, f"force.{which}") for role in ("hollow", "real", "discovery", "lab")]
 
 
-def nothing(lines: Sequence[Fit], size: Size) -> Cell | None:
+def nothing(fits: Sequence[Fit], size: Size) -> Cell | None:
     """Not measured, and no formula."""
     return None
 
@@ -770,7 +783,7 @@
 
 def _ranged(values: Sequence[float]) -> str:
     """The mean of plays, with their range."""
-    few = "" if len(values) >= LEAST_PLAYS else "†"
+    few = "" if len(values) >= MIN_PLAYS else "†"
     mean = math.fsum(values) / len(values)
     return f"{number(mean)}{few} ({number(min(values))} to {number(max(values))})"
 
@@ -780,23 +793,23 @@
     cell = next((c for c in reversed(list(cells)) if c is not None), None)
     if cell is None:
         return ""
-    lines = [f"formula: {cell.formula}"] if cell.formula else []
-    for line in cell.fits:
-        terms = [number(line.intercept)]
-        for t in line.terms:
+    texts = [f"formula: {cell.formula}"] if cell.formula else []
+    for fit in cell.sources:
+        terms = [number(fit.intercept)]
+        for t in fit.terms:
             error = "no error" if t.error is None else f"± {number(t.error)}"
             plays = f"plays {number(t.low)} to {number(t.high)}"
             terms.append(f"{number(t.slope)} × {t.axis} ({error}; {plays})")
-        what = " + ".join(terms) if line.terms else "one size, no slope"
-        lines.append(f"{line.role} {line.metric}: {what}")
-    return "; ".join(lines)
+        what = " + ".join(terms) if fit.terms else "one size, no slope"
+        texts.append(f"{fit.role} {fit.metric}: {what}")
+    return "; ".join(texts)
 
 
 class Page:
     """The tables filled in."""
 
-    def __init__(self, points: Sequence[Point], lines: Sequence[Fit], given: Given) -> None:
-        self.points, self.lines, self.given = points, lines, given
+    def __init__(self, points: Sequence[Point], fits: Sequence[Fit], given: Given) -> None:
+        self.points, self.fits, self.given = points, fits, given
         self.sizes = [given.sizes[s] for s in SIZES]
         names = sorted({p.experiment for p in points})
         self.refs = {name: f"R{i}" for i, name in enumerate(names, 1)}
@@ -807,10 +820,10 @@
 
     def _cell(self, row: Row, size: Size) -> Cell | None:
         unknown = row.users_only and size is not self.sizes[-1]
-        return None if unknown else row.cell(self.lines, size)
+        return None if unknown else row.cell(self.fits, size)
 
     def runs_of(self, cells: Iterable[Cell | None]) -> str:
-        names = {n for c in cells if c is not None for f in c.fits for n in f.experiment.split("+")}
+        names = {n for c in cells if c is not None for f in c.sources for n in f.experiment.split("+")}
         return ", ".join(sorted((self.refs.get(n, n) for n in names), key=lambda r: (len(r), r)))
 
     def table(self, role: str) -> str:
@@ -856,7 +869,7 @@
                 last = cells[-1]
                 text = "" if last is None else last.text()
                 whose = f", {row.whose}" if row.whose else ""
-                what = "a formula" if last is not None and not last.fits else self.runs_of(cells)
+                what = "a formula" if last is not None and not last.sources else self.runs_of(cells)
                 out.append(
                     f"{len(out) + 1}. **{number(ratio)}** {role}: {row.kind}: {row.label}: {text} against "
                     f"{number(row.limit)}{whose}{f' ({others})' if others else ''}; {what}; {row.mechanism}"
@@ -890,7 +903,7 @@
         """
         places: dict[tuple[str, float, float], dict[str, Point]] = {}
         for point in self.points:
-            for end in (BEFORE, AFTER):
+            for end in (BEFORE_SUFFIX, AFTER_SUFFIX):
                 if point.experiment.endswith(end):
                     stem = point.experiment.removesuffix(end)
                     place = (stem, point.axis("routers"), point.axis("servers"))
@@ -902,7 +915,7 @@
         out = ["| " + " | ".join([*columns, "before / after", "runs"]) + " |", "| --- " * 9 + "|"]
         for what in COMPARED:
             for (_, routers, servers), found in both:
-                was, now = what.of(found[BEFORE]), what.of(found[AFTER])
+                was, now = what.of(found[BEFORE_SUFFIX]), what.of(found[AFTER_SUFFIX])
                 if not was or not now:
                     continue
                 limit = self.given.limits[what.limit] if what.limit else None
@@ -910,7 +923,7 @@
                 texts = [_ranged(values) for values in (was, now)]
                 ratios = [number(mean / limit) if limit else "" for mean in means]
                 less = number(means[0] / means[1]) if means[1] else ""
-                refs = ", ".join(self.refs[found[end].experiment] for end in (BEFORE, AFTER))
+                refs = ", ".join(self.refs[found[end].experiment] for end in (BEFORE_SUFFIX, AFTER_SUFFIX))
                 size = f"{number(routers)} / {number(servers)}"
                 cells = [what.label, size, *texts, number(limit) if limit else "", *ratios, less, refs]
                 out.append("| " + " | ".join(cells) + " |")
@@ -918,12 +931,12 @@
 
     def say(self, *wanted: tuple[str, str], unit: str, steady: bool = True) -> str:
         """A figure at the users' size, with its runs."""
-        cell = measured(*wanted, steady=steady)(self.lines, self.sizes[-1])
+        cell = measured(*wanted, steady=steady)(self.fits, self.sizes[-1])
         return NOT_MEASURED if cell is None else f"{cell.text()} {unit} [{self.runs_of([cell])}]"
 
     def times(self, factor: float, *wanted: tuple[str, str], unit: str) -> str:
         """A factor times a figure at the users' size, written out."""
-        cell = measured(*wanted)(self.lines, self.sizes[-1])
+        cell = measured(*wanted)(self.fits, self.sizes[-1])
         if cell is None:
             return NOT_MEASURED
         ref = self.runs_of([cell])
@@ -934,7 +947,7 @@
         shown = ("served", "late", "failed", "calls.waiting", "calls.failed", "cold.window")
         out = []
         for point in self.points:
-            if set(kinds) & set(point.faults()) and not point.experiment.endswith(BEFORE):
+            if set(kinds) & set(point.faults()) and not point.experiment.endswith(BEFORE_SUFFIX):
                 some = [
                     f"{role} {metric} {number(f.mean)} ({number(f.low)} to {number(f.high)}) {f.unit}"
                     for role, figures in point.roles.items()
@@ -1015,7 +1028,7 @@
             "whole_seconds": whole / limits["control_bytes"],
             "purges_missed": purges * gone,
         }
-        lines = {
+        phrases = {
             "purge_cost": self.times(purges / 1e6, *peer, unit="of a core"),
             "change_cost": self.times(changes / DAY / 1e6, *change, unit="of a core"),
             "force_max": self.say(*in_force("max"), unit="s"),
@@ -1029,7 +1042,7 @@
             ),
             "played_region": self.played(["region_cut"]),
         }
-        return {name: number(value) for name, value in values.items()} | lines
+        return {name: number(value) for name, value in values.items()} | phrases
 
     def runs(self) -> str:
         """Which files the figures come from."""
--- a/fleetlab/slopes.py
+++ b/fleetlab/slopes.py
@@ -1,9 +1,9 @@
-"""What many plays say together: points, lines through them, and what a line says of another size.
+"""Linear regression over plays: how metrics depend on a fleet's size, and their values at other sizes.
 
-A point is a set of settings; plays of it differ by their seed. A line goes through all plays of an
-experiment by least squares, with a term for each setting that was varied by itself; `routers` stands for
-`fleet.real` + `fleet.hollow` and `servers` for `fleet.servers`, all else has the experiment file's names.
-Settings that could not be told apart, as they varied together, share the first one's term.
+A point is a set of settings; its plays differ by their seed. A fit is a linear function of a metric, by least
+squares over all plays of an experiment, with a term for each setting that varied independently. The axis
+`routers` stands for `fleet.real` + `fleet.hollow` and `servers` for `fleet.servers`; all other axes have the
+names of the experiment file. Collinear settings, which varied together, share the first one's term.
 """
 
 from __future__ import annotations
@@ -19,37 +19,35 @@
 
 from fleetlab.results import Machine, Result
 
-# of the planned requests, and seconds that an event loop was late: past these a process of hollow routers was
-# too full, and its figures say nothing
-LEAST_ASKED, MOST_LATE = 0.9, 1.0
-LEAST_PLAYS = 3  # of a point; with fewer it is marked
-ROUNDING = 1e-9  # of the greatest value: less is not of the plays but of the arithmetic
-ERRORS = 2.0  # standard errors that a range holds on either side: 19 of 20, if errors are normal
-# how long, by how many processes and of how many listeners was measured says nothing of a fleet's size
-NO_AXIS = (
+# share of the planned requests made, and lag of the event loop: beyond either, a process of hollow routers
+# was overloaded, and its figures are those of the laboratory
+MIN_ASKED_SHARE, MAX_LAG_S = 0.9, 1.0
+MIN_PLAYS = 3  # points with fewer plays are marked
+ROUNDING_TOLERANCE = 1e-9  # relative to the largest value; smaller coefficients are rounding errors
+INTERVAL_STANDARD_ERRORS = 2.0  # half width of a range: 95 % confidence if errors are normal
+# the length of a play and how its routers are spread over processes do not describe a fleet's size
+NON_AXIS_SETTINGS = (
     *("seconds", "settle", "fleet.processes", "fleet.listening", "fleet.full"),
-    *("fleet.real", "fleet.hollow", "fleet.servers"),  # routers and servers stand for these
+    *("fleet.real", "fleet.hollow", "fleet.servers"),  # the axes `routers` and `servers` stand for these
 )
-NOT_KEPT = ("name", "mode", "seed", "sweep", "memory_share", "most_processes")
-RATES = {  # what a role's routers are asked
+DROPPED_SETTINGS = ("name", "mode", "seed", "sweep", "memory_share", "most_processes")
+RATE_SETTINGS = {  # by role, the setting with its request rate at a router
     "real": "requests.rate",
     "hollow": "requests.hollow_rate",
     "full": "requests.full_rate",
     "module": "requests.full_rate",
 }
-DAILY = {"changes", "servers_change"}  # what happens on any day
-BEFORE, AFTER = (
-    "_before",
-    "_after",
-)  # end the names of an experiment's plays with an earlier module and this one
-# what hollow routers that do not hear peers lower, in the mean of all
-HEARD = ("cpu.control", "cpu.share", "rate.peer", "bytes.in.peers")
+ROUTINE_FAULTS = {"changes", "servers_change"}  # events of normal operation
+# suffixes of the names of experiments that compare an earlier decision module with the present one
+BEFORE_SUFFIX, AFTER_SUFFIX = ("_before", "_after")
+# metrics whose mean over hollow routers is too low if some of them do not receive peers' datagrams
+LISTENER_METRICS = ("cpu.control", "cpu.share", "rate.peer", "bytes.in.peers")
 
 Setting = float | str | bool
 
 
 class Play(msgspec.Struct, frozen=True):
-    """Where one play of a point came from."""
+    """The origin of one play of a point."""
 
     file: str
     seed: int
@@ -59,11 +57,11 @@
     began: str
     machine: Machine
     notes: list[str] = []
-    broken_off: bool = False  # or its processes were too full: no figure is taken from it
+    broken_off: bool = False  # true as well if its processes were overloaded; its figures are left out
 
 
 class Figure(msgspec.Struct):
-    """A metric at a point: a value for each play, in the plays' order; null where a play has none."""
+    """A metric at a point: one value per play, in the plays' order; null where a play has none."""
 
     unit: str
     mean: float
@@ -82,48 +80,50 @@
     roles: dict[str, dict[str, Figure]] = {}
 
     def axis(self, name: str) -> float:
-        """Where the point lies on an axis; 0 where it is no number or not there."""
+        """Return the point's coordinate on an axis; 0 if it is missing or not a number."""
         if name == "routers":
             return self.axis("fleet.real") + self.axis("fleet.hollow")
         value = self.settings.get("fleet.servers" if name == "servers" else name, 0.0)
         return 0.0 if isinstance(value, str) else float(value)
 
     def faults(self) -> list[str]:
-        """The kinds of what happens in it."""
+        """Return the kinds of its faults."""
         return [str(v) for k, v in self.settings.items() if re.fullmatch(r"faults\.\d+\.kind", k)]
 
 
-class Measured(msgspec.Struct):
-    """The summary that is kept: enough to make every table again."""
+class Measurements(msgspec.Struct):
+    """The content of `measured.json`, from which every table can be made again."""
 
     points: list[Point]
 
 
 class Term(msgspec.Struct):
-    """What one more on an axis costs."""
+    """A fit's slope along one axis."""
 
     axis: str
     slope: float
-    error: float | None  # standard error from the residuals; null where there are no more plays than terms
-    low: float  # least and greatest slope through one play of each point
+    error: float | None  # standard error from the residuals; null if plays do not outnumber coefficients
+    low: float  # range of the slopes of fits through one play of each point
     high: float
-    least: float  # the measured range of the axis
-    most: float
+    axis_min: float = msgspec.field(name="least")  # the measured range of the axis
+    axis_max: float = msgspec.field(name="most")
 
 
 class Value(msgspec.Struct):
-    """A figure at a size."""
+    """A metric's value at a size."""
 
     value: float
     low: float
     high: float
-    measured: bool = False  # a point lies there; else the line says so
-    beyond: float = 1.0  # times past the end of the measured range, of the axis where that is most
-    held: dict[str, float] = {}  # what was not varied, and differs from the size
+    measured: bool = False  # true if a point lies there, false if the fit predicts it
+    # ratio to the end of the measured range, on the axis where it is largest
+    extrapolation: float = msgspec.field(default=1.0, name="beyond")
+    # axes that did not vary, with their measured values, where these differ from the size
+    held_axes: dict[str, float] = msgspec.field(default_factory=dict, name="held")
 
 
 class Fit(msgspec.Struct):
-    """A line through all plays of a metric."""
+    """A linear function of a metric, fitted to all plays that have it."""
 
     experiment: str
     mode: str
@@ -132,97 +132,101 @@
     unit: str
     intercept: float
     terms: list[Term]
-    together: list[str]  # axes that varied, with no term of their own
-    base: dict[str, float]  # the commonest value of each axis
-    at_points: list[tuple[dict[str, float], Value, int]]  # of each point: axes, mean and range, plays
+    collinear_axes: list[str] = msgspec.field(name="together")  # axes that varied but have no term
+    base: dict[str, float]  # the most frequent value of each axis
+    at_points: list[tuple[dict[str, float], Value, int]]  # per point: axes, mean with range, number of plays
     covariance: list[list[float]] | None
-    singles: list[list[float]]  # intercept and slopes of lines through one play of each point
+    # intercept and slopes of fits through one play of each point
+    single_play_fits: list[list[float]] = msgspec.field(name="singles")
     files: list[str]
     faults: list[str]
     listening: float
 
     @property
-    def deaf(self) -> bool:
-        """Whether it is a mean over routers of which some did not hear peers: less than of those that did."""
-        return self.role in ("hollow", "full") and self.listening < 1 and self.metric in HEARD
+    def is_understated(self) -> bool:
+        """Whether it is a mean over routers of which some did not receive peers' datagrams, thus too low."""
+        return self.role in ("hollow", "full") and self.listening < 1 and self.metric in LISTENER_METRICS
 
     @property
-    def few(self) -> bool:
-        """Whether a point has too few plays."""
-        return any(plays < LEAST_PLAYS for _, _, plays in self.at_points)
+    def has_few_plays(self) -> bool:
+        """Whether a point has fewer than `MIN_PLAYS` plays."""
+        return any(plays < MIN_PLAYS for _, _, plays in self.at_points)
 
-    def at(self, size: dict[str, float]) -> Value | None:
-        """The figure at a size, given by axes; None where neither a point nor a line reaches it.
+    def value_at(self, size: dict[str, float]) -> Value | None:
+        """Return the value at a size, given by axes; None if no point lies there and the fit cannot tell.
 
-        The range is the standard error's, `ERRORS` on either side, widened to what single plays say. A line
-        that falls below 0, where nothing measured did, is no line there: None as well.
+        A fit without a term for routers or servers cannot tell, and neither can one that predicts a value
+        below 0 though no measured value was. The range is `INTERVAL_STANDARD_ERRORS` on either side, widened
+        to what fits through single plays predict.
         """
-        near = ("routers", "servers")
-        rate = RATES.get(self.role)
+        size_axes = ("routers", "servers")
+        rate = RATE_SETTINGS.get(self.role)
         terms = {t.axis for t in self.terms}
-        looked = [a for a in (*near, rate) if a and a in size]
-        for place, value, _ in self.at_points:
-            others = all(place[a] == self.base[a] for a in place if a not in looked)
-            if others and all(place[a] == size[a] for a in near if a in size):
-                held = {a: place[a] for a in looked if place[a] != size[a]}
-                if not (held.keys() & terms):
-                    return Value(value.value, value.low, value.high, True, 1.0, held)
-        if not terms & set(near):
+        sized_axes = [a for a in (*size_axes, rate) if a and a in size]
+        for axes, value, _ in self.at_points:
+            others_match = all(axes[a] == self.base[a] for a in axes if a not in sized_axes)
+            if others_match and all(axes[a] == size[a] for a in size_axes if a in size):
+                held_axes = {a: axes[a] for a in sized_axes if axes[a] != size[a]}
+                if not (held_axes.keys() & terms):
+                    return Value(value.value, value.low, value.high, True, 1.0, held_axes)
+        if not terms & set(size_axes):
             return None
         x = [1.0, *(size.get(t.axis, self.base[t.axis]) for t in self.terms)]
-        value_at = float(np.dot([self.intercept, *(t.slope for t in self.terms)], x))
+        predicted = float(np.dot([self.intercept, *(t.slope for t in self.terms)], x))
         floor = 0.0 if all(value.low >= 0 for _, value, _ in self.at_points) else -math.inf
-        if value_at < floor:
+        if predicted < floor:
             return None
-        said = [float(np.dot(c, x)) for c in self.singles] or [value_at]
-        wide = 0.0
+        single_play_values = [float(np.dot(c, x)) for c in self.single_play_fits] or [predicted]
+        margin = 0.0
         if self.covariance is not None:
-            wide = ERRORS * math.sqrt(max(0.0, float(np.array(x) @ np.array(self.covariance) @ np.array(x))))
-        beyond = max(_beyond(v, t) for v, t in zip(x[1:], self.terms, strict=True))
-        held = {a: self.base[a] for a in looked if a not in terms and self.base[a] != size[a]}
-        held = {a: v for a, v in held.items() if a not in self.together}
-        low, high = min(value_at - wide, *said), max(value_at + wide, *said)
-        return Value(value_at, max(floor, low), high, False, beyond, held)
-
-
-def _beyond(value: float, term: Term) -> float:
-    """How many times past the measured range: 1 inside of it."""
-    if value > term.most:
-        return value / term.most if term.most > 0 else math.inf
-    if value < term.least:
-        return term.least / value if value > 0 else math.inf
+            margin = INTERVAL_STANDARD_ERRORS * math.sqrt(
+                max(0.0, float(np.array(x) @ np.array(self.covariance) @ np.array(x)))
+            )
+        extrapolation = max(_extrapolation(v, t) for v, t in zip(x[1:], self.terms, strict=True))
+        held_axes = {a: self.base[a] for a in sized_axes if a not in terms and self.base[a] != size[a]}
+        held_axes = {a: v for a, v in held_axes.items() if a not in self.collinear_axes}
+        low, high = min(predicted - margin, *single_play_values), max(predicted + margin, *single_play_values)
+        return Value(predicted, max(floor, low), high, False, extrapolation, held_axes)
+
+
+def _extrapolation(value: float, term: Term) -> float:
+    """Return the ratio of a value to the nearest end of the measured range; 1 inside the range."""
+    if value > term.axis_max:
+        return value / term.axis_max if term.axis_max > 0 else math.inf
+    if value < term.axis_min:
+        return term.axis_min / value if value > 0 else math.inf
     return 1.0
 
 
 def flatten(table: Any, name: str = "") -> dict[str, Setting]:
-    """The settings of an experiment by dotted names, as an axis has them; lists count from 0."""
+    """Return an experiment's settings by dotted names, which are those of axes; lists count from 0."""
     if isinstance(table, dict | list):
         pairs = table.items() if isinstance(table, dict) else enumerate(table)
         found: dict[str, Setting] = {}
         for key, value in pairs:
-            if name or key not in NOT_KEPT:
+            if name or key not in DROPPED_SETTINGS:
                 found |= flatten(value, f"{name}.{key}" if name else str(key))
         return found
     return {name: table if isinstance(table, str | bool) else float(table)}
 
 
-def read(paths: Iterable[Path]) -> list[Point]:
-    """Points of result files, of summaries, and of all files in folders; a play met twice counts once.
+def read_points(paths: Iterable[Path]) -> list[Point]:
+    """Read the points of result files, `measured.json` files and folders of both.
 
-    Raises ValueError naming the file that is neither.
+    A play that occurs more than once counts once. Raises ValueError with the name of a file of another kind.
     """
     files: list[Path] = []
     for path in paths:
-        inside = (
+        found = (
             sorted(p for p in path.rglob("*.json") if p.name != "slopes.json") if path.is_dir() else [path]
         )
-        files += inside
-    # each play by itself: its point's place, where it came from, and its figures
+        files += found
+    # by play: its point, its origin and its figures
     plays: dict[tuple[str, ...], tuple[Point, Play, dict[str, dict[str, tuple[float, str]]]]] = {}
     for file in files:
-        for point, play, figures in _plays_of(file):
-            place = msgspec.json.encode(sorted(point.settings.items())).decode()
-            plays[point.experiment, point.mode, place, f"{play.seed:020d}", play.began, play.file] = (
+        for point, play, figures in _read_plays(file):
+            settings_key = msgspec.json.encode(sorted(point.settings.items())).decode()
+            plays[point.experiment, point.mode, settings_key, f"{play.seed:020d}", play.began, play.file] = (
                 point,
                 play,
                 figures,
@@ -231,37 +235,37 @@
     values: dict[tuple[str, ...], list[dict[str, dict[str, tuple[float, str]]]]] = {}
     for key in sorted(plays):
         point, play, figures = plays[key]
-        mine = points.setdefault(key[:3], Point(point.experiment, point.mode, point.settings, []))
-        mine.plays.append(play)
+        merged = points.setdefault(key[:3], Point(point.experiment, point.mode, point.settings, []))
+        merged.plays.append(play)
         values.setdefault(key[:3], []).append({} if play.broken_off else figures)
-    for place_of, mine in points.items():
-        mine.roles = _figures(values[place_of])
+    for point_key, merged in points.items():
+        merged.roles = _figures(values[point_key])
     order = sorted(
         points, key=lambda k: (k[0], k[1], points[k].axis("routers"), points[k].axis("servers"), k[2])
     )
     return [points[k] for k in order]
 
 
-def _plays_of(file: Path) -> list[tuple[Point, Play, dict[str, dict[str, tuple[float, str]]]]]:
+def _read_plays(file: Path) -> list[tuple[Point, Play, dict[str, dict[str, tuple[float, str]]]]]:
     try:
         table = msgspec.json.decode(file.read_bytes())
         if isinstance(table, dict) and "points" in table:
             found = []
-            for p in msgspec.convert(table, Measured).points:
+            for p in msgspec.convert(table, Measurements).points:
                 for i, play in enumerate(p.plays):
-                    some = {
+                    figures_by_role = {
                         role: {m: (v, f.unit) for m, f in figures.items() if (v := f.values[i]) is not None}
                         for role, figures in p.roles.items()
                     }
-                    found.append((p, play, some))
+                    found.append((p, play, figures_by_role))
             return found
         result = msgspec.convert(table, Result)
     except (msgspec.DecodeError, IndexError) as e:
         raise ValueError(f"{file} is neither a result nor a summary: {e}") from e
     experiment = result.experiment
     point = Point(experiment.name, experiment.mode, flatten(msgspec.to_builtins(experiment)), [])
-    command = re.sub(r"(?<!\S)(\.\./|/)\S*/", "", result.command)  # where it lay on a machine says nothing
-    full = _too_full(result)
+    command = re.sub(r"(?<!\S)(\.\./|/)\S*/", "", result.command)  # drop the machine's folders
+    overload = _overload_notes(result)
     play = Play(
         file.name,
         result.seed,
@@ -270,11 +274,11 @@
         command,
         result.began,
         result.machine,
-        [*result.notes, *full],
-        result.broken_off or bool(full),
+        [*result.notes, *overload],
+        result.broken_off or bool(overload),
     )
     roles = {
-        # six digits are more than any play's, and keep the summary short
+        # six digits exceed the precision of any play, and keep the file short
         name: {
             m: (float(f"{f.value:.6g}"), f.unit) for m, f in role.metrics.items() if math.isfinite(f.value)
         }
@@ -283,14 +287,14 @@
     return [(point, play, roles)]
 
 
-def _too_full(result: Result) -> list[str]:
-    """A note where hollow routers could not keep up, so that it was the laboratory that was measured."""
+def _overload_notes(result: Result) -> list[str]:
+    """Return a note if hollow routers could not keep up, so that the play measured the laboratory instead."""
     asked = [a.value for role in result.roles.values() if (a := role.metrics.get("asked")) is not None]
     if not asked:
         return []
     lag = result.roles["lab"].metrics.get("lag") if "lab" in result.roles else None
     late = 0.0 if lag is None else max(lag.value, lag.high)
-    if min(asked) >= LEAST_ASKED and late <= MOST_LATE:
+    if min(asked) >= MIN_ASKED_SHARE and late <= MAX_LAG_S:
         return []
     made = f"{min(asked):.2g} of the planned requests"
     return [f"hollow routers made {made} and were up to {late:.2g} s late: figures left out"]
@@ -309,147 +313,149 @@
     return roles
 
 
-def groups(points: Sequence[Point]) -> list[tuple[str, list[Point]]]:
-    """The points that a line may go through, with the name of their experiments.
+def fit_groups(points: Sequence[Point]) -> list[tuple[str, list[Point]]]:
+    """Return the groups of points that can share a fit, each with the names of its experiments.
 
-    These are an experiment's, and those of several that differ in the numbers of routers and servers alone;
-    plays of an earlier module stay by themselves.
+    These are the points of each experiment, and those of several experiments that differ only in the numbers
+    of routers and servers. Plays of an earlier decision module are not combined with other experiments.
     """
     by_name: dict[tuple[Any, ...], list[Point]] = {}
     by_rest: dict[tuple[Any, ...], list[Point]] = {}
     for point in points:
         words = tuple(sorted((k, v) for k, v in point.settings.items() if isinstance(v, str)))
-        rest = tuple(sorted((k, v) for k, v in point.settings.items() if k not in NO_AXIS))
+        rest = tuple(sorted((k, v) for k, v in point.settings.items() if k not in NON_AXIS_SETTINGS))
         by_name.setdefault((point.experiment, point.mode, words), []).append(point)
-        if not point.experiment.endswith(BEFORE):
+        if not point.experiment.endswith(BEFORE_SUFFIX):
             by_rest.setdefault((point.mode, rest), []).append(point)
     several = [g for g in by_rest.values() if len({p.experiment for p in g}) > 1]
     return [("+".join(sorted({p.experiment for p in g})), g) for g in (*by_name.values(), *several)]
 
 
-def _axes(points: Sequence[Point]) -> list[str]:
-    """What varies between points, routers and servers first."""
+def _varied_axes(points: Sequence[Point]) -> list[str]:
+    """Return the axes on which points differ, routers and servers first."""
     names = sorted(
-        {k for p in points for k, v in p.settings.items() if not isinstance(v, str)} - set(NO_AXIS)
+        {k for p in points for k, v in p.settings.items() if not isinstance(v, str)} - set(NON_AXIS_SETTINGS)
     )
     return [a for a in ("routers", "servers", *names) if len({p.axis(a) for p in points}) > 1]
 
 
-def _solve(x: np.ndarray[Any, Any], y: np.ndarray[Any, Any]) -> list[float]:
-    """Least squares with columns of like size, or the rank would depend on units."""
+def _least_squares(x: np.ndarray[Any, Any], y: np.ndarray[Any, Any]) -> list[float]:
+    """Solve by least squares with columns scaled to similar size, or the rank would depend on their units."""
     scale = np.abs(x).max(axis=0)
     found = np.linalg.lstsq(x / scale, y, rcond=None)[0]
-    found[np.abs(found) < ROUNDING * np.abs(y).max(initial=0.0)] = 0.0
+    found[np.abs(found) < ROUNDING_TOLERANCE * np.abs(y).max(initial=0.0)] = 0.0
     return [float(c) for c in found / scale]
 
 
-def fit(name: str, points: Sequence[Point], role: str, metric: str) -> Fit | None:
-    """The line of a metric; None where no point has it."""
-    having = [p for p in points if metric in p.roles.get(role, {})]
-    if not having:
+def fit_metric(name: str, points: Sequence[Point], role: str, metric: str) -> Fit | None:
+    """Fit a metric of a role over the points that have it; None if none has."""
+    with_metric = [p for p in points if metric in p.roles.get(role, {})]
+    if not with_metric:
         return None
-    figures = [p.roles[role][metric] for p in having]
+    figures = [p.roles[role][metric] for p in with_metric]
     numbers = [[v for v in f.values if v is not None] for f in figures]
-    axes = _axes(having)
-    used: list[str] = []
-    columns = [np.ones(len(having))]
+    axes = _varied_axes(with_metric)
+    fitted_axes: list[str] = []
+    columns = [np.ones(len(with_metric))]
     for axis in axes:
-        column = np.array([p.axis(axis) for p in having])
+        column = np.array([p.axis(axis) for p in with_metric])
         tried = np.stack([*columns, column / np.abs(column).max()], axis=1)
-        # guards against a term for every point, which would fit anything
-        room = len(columns) == 1 or len(columns) + 1 < len(having)
-        if room and np.linalg.matrix_rank(tried) > len(columns):
+        # keeps coefficients fewer than points: with as many of them the fit passes through any values
+        can_add = len(columns) == 1 or len(columns) + 1 < len(with_metric)
+        if can_add and np.linalg.matrix_rank(tried) > len(columns):
             columns.append(column / np.abs(column).max())
-            used.append(axis)
-    places = [[1.0, *(p.axis(a) for a in used)] for p in having]
-    x = np.array([place for place, n in zip(places, numbers, strict=True) for _ in n])
+            fitted_axes.append(axis)
+    design_rows = [[1.0, *(p.axis(a) for a in fitted_axes)] for p in with_metric]
+    x = np.array([coordinates for coordinates, n in zip(design_rows, numbers, strict=True) for _ in n])
     y = np.array([v for n in numbers for v in n])
-    line = _solve(x, y)
-    singles = [
-        _solve(np.array(places), np.array([n[k] for n in numbers])) for k in range(min(map(len, numbers)))
+    coefficients = _least_squares(x, y)
+    single_play_fits = [
+        _least_squares(np.array(design_rows), np.array([n[k] for n in numbers]))
+        for k in range(min(map(len, numbers)))
     ]
     covariance = None
-    if len(y) > len(line):
+    if len(y) > len(coefficients):
         scale = np.abs(x).max(axis=0)
-        spread = float(np.sum((y - x @ np.array(line)) ** 2)) / (len(y) - len(line))
+        spread = float(np.sum((y - x @ np.array(coefficients)) ** 2)) / (len(y) - len(coefficients))
         shape = np.linalg.inv((x / scale).T @ (x / scale)) / np.outer(scale, scale)
         covariance = [[float(v) for v in row] for row in spread * shape]
     terms = [
         Term(
             axis,
-            line[i],
+            coefficients[i],
             None if covariance is None else math.sqrt(max(0.0, covariance[i][i])),
-            min(line[i], *(s[i] for s in singles)),
-            max(line[i], *(s[i] for s in singles)),
-            min(p.axis(axis) for p in having),
-            max(p.axis(axis) for p in having),
+            min(coefficients[i], *(s[i] for s in single_play_fits)),
+            max(coefficients[i], *(s[i] for s in single_play_fits)),
+            min(p.axis(axis) for p in with_metric),
+            max(p.axis(axis) for p in with_metric),
         )
-        for i, axis in enumerate(used, 1)
+        for i, axis in enumerate(fitted_axes, 1)
     ]
-    known = sorted({"routers", "servers", *RATES.values(), *axes})
+    known = sorted({"routers", "servers", *RATE_SETTINGS.values(), *axes})
     base = {}
     for axis in known:
-        found = [p.axis(axis) for p in having]
+        found = [p.axis(axis) for p in with_metric]
         base[axis] = max(sorted(set(found)), key=found.count)
     return Fit(
         name,
-        having[0].mode,
+        with_metric[0].mode,
         role,
         metric,
         figures[0].unit,
-        line[0],
+        coefficients[0],
         terms,
-        [a for a in axes if a not in used],
+        [a for a in axes if a not in fitted_axes],
         base,
         [
             ({a: p.axis(a) for a in known}, Value(f.mean, f.low, f.high, True), len(n))
-            for p, f, n in zip(having, figures, numbers, strict=True)
+            for p, f, n in zip(with_metric, figures, numbers, strict=True)
         ],
         covariance,
-        singles,
-        sorted({q.file for p in having for q in p.plays if not q.broken_off}),
-        sorted({kind for p in having for kind in p.faults()}),
-        min(float(p.settings.get("fleet.listening", 1.0)) for p in having),
+        single_play_fits,
+        sorted({q.file for p in with_metric for q in p.plays if not q.broken_off}),
+        sorted({kind for p in with_metric for kind in p.faults()}),
+        min(float(p.settings.get("fleet.listening", 1.0)) for p in with_metric),
     )
 
 
-def fits(points: Sequence[Point]) -> list[Fit]:
-    """All lines, by experiment, role and metric."""
+def fit_all(points: Sequence[Point]) -> list[Fit]:
+    """Return the fits of all metrics, by experiment, role and metric."""
     found = []
-    for name, group in groups(points):
+    for name, group in fit_groups(points):
         for role in sorted({r for p in group for r in p.roles}):
             for metric in sorted({m for p in group for m in p.roles.get(role, {})}):
-                line = fit(name, group, role, metric)
-                if line is not None:
-                    found.append(line)
+                fit = fit_metric(name, group, role, metric)
+                if fit is not None:
+                    found.append(fit)
     return found
 
 
-def choose(
-    lines: Iterable[Fit], wanted: Sequence[tuple[str, str]], size: dict[str, float], steady: bool = True
+def choose_fit(
+    fits: Iterable[Fit], wanted: Sequence[tuple[str, str]], size: dict[str, float], steady: bool = True
 ) -> tuple[Fit, Value] | None:
-    """The line to go by at a size, of the first role and metric wanted that has one.
+    """Return the best fit at a size with its value there, of the first wanted role and metric that has one.
 
-    A measured point goes first, then lines with terms for both routers and servers, then those that reach
-    the least beyond what was measured; `steady` prefers experiments in which nothing happens but the daily.
+    With `steady`, fits over experiments with no faults but `ROUTINE_FAULTS` come first. Then come, in this
+    order: values that are not understated, measured points, fewer axes that differ from the size, terms for
+    both routers and servers, and the least extrapolation.
     """
     for role, metric in wanted:
         found = []
-        for line in lines:
-            if (line.role, line.metric) == (role, metric) and (value := line.at(size)) is not None:
-                near = sum(t.axis in ("routers", "servers") for t in line.terms)
-                happens = bool(steady and set(line.faults) - DAILY)
+        for fit in fits:
+            if (fit.role, fit.metric) == (role, metric) and (value := fit.value_at(size)) is not None:
+                size_terms = sum(t.axis in ("routers", "servers") for t in fit.terms)
+                has_faults = bool(steady and set(fit.faults) - ROUTINE_FAULTS)
                 rank = (
-                    happens,
-                    line.deaf,
+                    has_faults,
+                    fit.is_understated,
                     not value.measured,
-                    len(value.held),
-                    -near,
-                    value.beyond,
-                    line.few,
+                    len(value.held_axes),
+                    -size_terms,
+                    value.extrapolation,
+                    fit.has_few_plays,
                 )
-                found.append((rank, line.experiment, line, value))
+                found.append((rank, fit.experiment, fit, value))
         if found:
-            _, _, line, value = min(found, key=lambda f: f[:2])
-            return line, value
+            _, _, fit, value = min(found, key=lambda f: f[:2])
+            return fit, value
     return None
--- a/tests/test_lab_report.py
+++ b/tests/test_lab_report.py
@@ -15,7 +15,7 @@
 from fleetlab.experiment import Experiment, Fault, Fleet, Requests
 from fleetlab.results import Machine, Metric, Result, Role, write_result
 
-USERS = {"routers": 2300.0, "servers": 930.0, **dict.fromkeys(slopes.RATES.values(), 565.0)}
+USERS = {"routers": 2300.0, "servers": 930.0, **dict.fromkeys(slopes.RATE_SETTINGS.values(), 565.0)}
 Given = Callable[[int, int, int], dict[str, dict[str, float]]]  # routers, servers, seed: roles' metrics
 
 
@@ -58,7 +58,7 @@
 
 
 def line_of(paths: list[Path], role: str, metric: str) -> slopes.Fit:
-    return next(f for f in slopes.fits(slopes.read(paths)) if (f.role, f.metric) == (role, metric))
+    return next(f for f in slopes.fit_all(slopes.read_points(paths)) if (f.role, f.metric) == (role, metric))
 
 
 def test_an_exact_line_is_found_with_no_error(tmp_path: Path) -> None:
@@ -69,10 +69,10 @@
     assert [t.axis for t in line.terms] == ["routers", "servers"]
     assert [t.slope for t in line.terms] == pytest.approx([0.5, 0.25])
     assert [t.error for t in line.terms] == pytest.approx([0, 0], abs=1e-9)
-    value = line.at(USERS)
+    value = line.value_at(USERS)
     assert value is not None and value.value == pytest.approx(1 + 0.5 * 2300 + 0.25 * 930)
-    assert value.beyond == pytest.approx(2300 / 200) and not value.measured
-    assert value.held == {"requests.hollow_rate": 4.0} and not line.few
+    assert value.extrapolation == pytest.approx(2300 / 200) and not value.measured
+    assert value.held_axes == {"requests.hollow_rate": 4.0} and not line.has_few_plays
 
 
 def test_the_error_is_that_of_the_residuals_and_plays_give_the_range(tmp_path: Path) -> None:
@@ -88,34 +88,38 @@
     assert term.slope == pytest.approx(2)
     assert term.error == pytest.approx(math.sqrt(residuals / (6 - 2) / (6 * 100**2)))
     assert [term.low, term.high] == pytest.approx([1.99, 2.01])
-    at_point = line_of(paths, "real", "x").at({"routers": 100, "servers": 13})
+    at_point = line_of(paths, "real", "x").value_at({"routers": 100, "servers": 13})
     assert at_point is not None and at_point.measured and (at_point.low, at_point.high) == (199, 201)
 
 
 def test_axes_that_varied_together_share_a_term(tmp_path: Path) -> None:
     paths = [play(tmp_path, (n, n), 1, {"real": {"x": 3.0 * n}}) for n in (10, 20, 40)]
     line = line_of(paths, "real", "x")
-    assert [t.axis for t in line.terms] == ["routers"] and line.together == ["servers"] and line.few
+    assert (
+        [t.axis for t in line.terms] == ["routers"]
+        and line.collinear_axes == ["servers"]
+        and line.has_few_plays
+    )
 
 
 def test_one_size_says_nothing_of_another(tmp_path: Path) -> None:
     line = line_of([play(tmp_path, (10, 13), 1, {"real": {"x": 3.0}})], "real", "x")
-    assert line.at(USERS) is None and line.terms == []
-    here = line.at({"routers": 10, "servers": 13})
+    assert line.value_at(USERS) is None and line.terms == []
+    here = line.value_at({"routers": 10, "servers": 13})
     assert here is not None and here.value == 3.0
 
 
 def test_a_line_below_nothing_says_nothing(tmp_path: Path) -> None:
     paths = [play(tmp_path, (r, 13), 1, {"real": {"x": 100.0 - r}}) for r in (10, 20, 40)]
-    assert line_of(paths, "real", "x").at(USERS) is None
-    at_90 = line_of(paths, "real", "x").at({"routers": 90, "servers": 13})
+    assert line_of(paths, "real", "x").value_at(USERS) is None
+    at_90 = line_of(paths, "real", "x").value_at({"routers": 90, "servers": 13})
     assert at_90 is not None and at_90.value == pytest.approx(10)
 
 
 def test_sweeps_of_several_experiments_make_one_plane(tmp_path: Path) -> None:
     paths = [play(tmp_path, (r, 13), 1, {"real": {"x": 1.0 * r + 26}}, name="routers") for r in (10, 20, 40)]
     paths += [play(tmp_path, (10, s), 1, {"real": {"x": 10 + 2.0 * s}}, name="servers") for s in (26, 52)]
-    chosen = slopes.choose(slopes.fits(slopes.read(paths)), [("real", "x")], USERS)
+    chosen = slopes.choose_fit(slopes.fit_all(slopes.read_points(paths)), [("real", "x")], USERS)
     assert chosen is not None and chosen[0].experiment == "routers+servers"
     assert chosen[1].value == pytest.approx(2300 + 2 * 930)
 
@@ -125,11 +129,11 @@
     paths = [
         play(tmp_path, (r, 13), 1, {"real": {"x": 9.0 * r}}, name="bad", faults=lost) for r in (10, 99, 500)
     ]
-    bad = slopes.fits(slopes.read(paths))
+    bad = slopes.fit_all(slopes.read_points(paths))
     paths += [play(tmp_path, (r, 13), 1, {"real": {"x": 1.0 * r}}, name="calm") for r in (10, 20)]
-    lines = slopes.fits(slopes.read(paths))
+    lines = slopes.fit_all(slopes.read_points(paths))
     for steady, among, value in ((True, lines, 2300), (False, lines, 9 * 2300), (True, bad, 9 * 2300)):
-        chosen = slopes.choose(among, [("real", "none"), ("real", "x")], USERS, steady)
+        chosen = slopes.choose_fit(among, [("real", "none"), ("real", "x")], USERS, steady)
         assert chosen is not None and chosen[1].value == pytest.approx(value)
 
 
@@ -138,11 +142,11 @@
     paths.append(play(tmp_path, (80, 13), 1, {"real": {"y": 1.0}}))
     paths.append(play(tmp_path, (160, 13), 1, {"real": {"x": 9999.0}}, broken_off=True))
     line = line_of(paths, "real", "x")
-    assert line.terms[0].slope == pytest.approx(1) and line.terms[0].most == 40
+    assert line.terms[0].slope == pytest.approx(1) and line.terms[0].axis_max == 40
     bad = tmp_path / "bad.json"
     bad.write_text("[]")
     with pytest.raises(ValueError, match="bad.json is neither"):
-        slopes.read([bad])
+        slopes.read_points([bad])
 
 
 def figures(r: int, s: int, seed: int) -> dict[str, dict[str, float]]:
@@ -204,7 +208,7 @@
     assert "| telling peers, share of a core | 40 / 60 | 0.004 (0.004 to 0.004) | 0.0004 (" in rows
     assert "| 32 | 2 | 0 |  | R2, R1 |" in rows and "80 / 60" not in rows and "zone's loss" not in rows
     assert "quiet, a second | 40 / 60 | 1,280 (1,280 to 1,280) | " in rows  # ten headers of 28
-    lines = slopes.fits(slopes.read([tmp_path / "r"]))
+    lines = slopes.fit_all(slopes.read_points([tmp_path / "r"]))
     assert {line.experiment for line in lines} == {"grow_before", "grow_after"}  # and no line through both
     row = next(line for line in text.splitlines() if "control as the module alone" in line)
     assert "R2" not in row  # R2 is before: its line would reach the users' size
