--- a/fleetlab/standins/clients.py
+++ b/fleetlab/standins/clients.py
@@ -31,7 +31,9 @@
 DEREGISTRATION_S = 0.3  # from SIGTERM of a planned restart until a router gets no new connections
 HEALTH_CHECK_PAUSE_S = 1.0  # from that SIGTERM until the next health check
 HEALTH_CHECK_INTERVAL_S = 0.1
-CLOSE_RACE_S = 0.05  # an idle connection that ends within this time of a request was closed before it arrived
+CLOSE_RACE_S = (
+    0.05  # a kept connection that ends within this time of a request may have been closed before it
+)
 WRITE_VALUE = b"v" * 200
 INCOMPLETE = object()
 
@@ -251,9 +253,10 @@
     async def attempt(
         self, router: RouterEndpoint, request: Request, deadline: float
     ) -> tuple[bytes, Any] | None:
-        """Make one attempt, which is sent again if the router closed an idle connection just before it.
+        """Make one attempt; if the router closed a kept connection just before it, send it on a new one.
 
-        Returns None if there is no answer. Raises TimeoutError at `deadline`.
+        An attempt of effect `single_shot` is not sent again. Returns None if there is no answer. Raises
+        TimeoutError at `deadline`.
         """
         for is_resend in (False, True):
             is_reused = bool(router.idle) and not is_resend
@@ -321,7 +324,7 @@
         return [(o.start + DEREGISTRATION_S, self.routers[o.router].deregister) for o in restarts]
 
     def role(self) -> Role:
-        """Return the figures of all clients, with answers that came after the schedule's end."""
+        """Return the clients' figures, including late answers after the schedule to requests within it."""
         meter, counts = self.meter, self.meter.counts
         completed = [counts[name] for name in ("served", "late", "failed")]
         total = int(sum(completed))
