--- a/fleetlab/cli.py
+++ b/fleetlab/cli.py
@@ -185,7 +185,7 @@
 def report(results: tuple[Path, ...], out: Path, page: Path | None) -> None:
     """Write slopes, plots and tables from RESULTS: result files, summaries, or directories of these."""
     with _exit_codes():
-        _load("fleetlab.report").make(list(results), out, page)
+        _load("fleetlab.report").write_report(list(results), out, page)
 
 
 @main.command()
--- a/fleetlab/hollow.py
+++ b/fleetlab/hollow.py
@@ -50,15 +50,15 @@
 class Life(Protocol):
     """The state of a server over time, in seconds from the start of the schedule."""
 
-    def up(self, at: float) -> bool:
+    def is_up(self, at: float) -> bool:
         """Return whether the server runs."""
         ...
 
-    def hanging(self, at: float) -> bool:
+    def is_hanging(self, at: float) -> bool:
         """Return whether it runs but does not respond."""
         ...
 
-    def started(self, at: float) -> float | None:
+    def start_time(self, at: float) -> float | None:
         """Return when it started, or None if that was before the schedule."""
         ...
 
@@ -98,25 +98,25 @@
     def server_state(self, server: int, router_zone: int, server_zone: int, at: float) -> str:
         """Return `up`, `hang` or `lost`: the state of a server as seen from a router's zone."""
         life = self.lives.get(server)
-        if self.partitioned(router_zone, server_zone, at) or (life is not None and not life.up(at)):
+        if self.partitioned(router_zone, server_zone, at) or (life is not None and not life.is_up(at)):
             return "lost"
-        return "hang" if life is not None and life.hanging(at) else "up"
+        return "hang" if life is not None and life.is_hanging(at) else "up"
 
     def warmth(self, server: int, at: float, cold: float, ramp: float) -> float:
         """Return the share of its usual hits that a server has at its age: from `cold` to 1 over `ramp`."""
         life = self.lives.get(server)
-        started = life.started(at) if life is not None else None
+        started = life.start_time(at) if life is not None else None
         return 1.0 if started is None else min(1.0, cold + (1 - cold) * (at - started) / max(ramp, 1e-3))
 
 
 def shared_schedule(plan: Plan) -> Schedule:
     """Return the schedule that all parts derive from the plan."""
     shared: Any = importlib.import_module("fleetlab.standins.schedule")
-    cuts = shared.cuts(plan)
+    cuts = shared.partitions(plan)
     return Schedule(
-        shared.server_events(plan),
-        shared.router_events(plan),
-        lambda zone, other, at: bool(shared.cut_between(cuts, zone, other, at)),
+        shared.server_timelines(plan),
+        shared.router_outages(plan),
+        lambda zone, other, at: bool(shared.is_partitioned(cuts, zone, other, at)),
     )
 
 
--- a/fleetlab/runner.py
+++ b/fleetlab/runner.py
@@ -161,7 +161,7 @@
 def router_absences(plan: Plan) -> Sequence[Absence]:
     """Return when which routers are down, as all workers derive it from the same plan."""
     schedule: Any = importlib.import_module("fleetlab.standins.schedule")
-    return cast(Sequence[Absence], schedule.router_events(plan))
+    return cast(Sequence[Absence], schedule.router_outages(plan))
 
 
 def router_seed(seed: int, number: int, start: int) -> str:
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -13,7 +13,7 @@
 from brackenwalk.demand import DIGEST_BYTES, HEADER, KEY_ENTRY, MAX_KEYS, SERVER_ID, Demand, timestamp_of
 from brackenwalk.gossip import MAX_AGE_FACTOR, MAX_BYTES_PER_S, UDP_OVERHEAD_BYTES, Gossip
 from fleetlab import model
-from fleetlab.model import Fleet, shared_rings, zipf
+from fleetlab.model import FleetModel, shared_rings, zipf_weights
 from tests.driver import Driver, entry, settings
 
 EMPTY = bytes(DIGEST_BYTES) + HEADER.pack(0, 0, 0)
@@ -32,13 +32,13 @@
     routers: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Each router that met one of a zone's dead servers reported it to all others, again and again."""
-    monkeypatch.setattr(model, "ON_THE_WAY", 0.027)  # the longest delay of any site
+    monkeypatch.setattr(model, "MESSAGE_DELAY_S", 0.027)  # the longest delay of any site
     with shared_rings():
-        fleet = Fleet(settings(may_gossip=True, aside=False), routers, SERVERS, hosted=True)
-        keys = zipf(240)
+        fleet = FleetModel(settings(may_gossip=True, aside=False), routers, SERVERS, run_timers=True)
+        keys = zipf_weights(240)
         fleet.run(0.5, 12.0 * routers, keys)
         fleet.messages.clear()
-        fleet.lose([s.server for s in SERVERS if s.zone == "a"])
+        fleet.fail([s.server for s in SERVERS if s.zone == "a"])
         fleet.run(4.0, 12.0 * routers, keys)
     reports = [m for m in fleet.messages if servers_in(m)]
     assert 0 < len(reports) < 4.0 * 15  # about five a second were measured, of 230 routers as of 40
--- a/tests/test_lab_hollow.py
+++ b/tests/test_lab_hollow.py
@@ -153,13 +153,13 @@
 
     start: float
 
-    def up(self, at: float) -> bool:
+    def is_up(self, at: float) -> bool:
         return at < self.start
 
-    def hanging(self, at: float) -> bool:
+    def is_hanging(self, at: float) -> bool:
         return False
 
-    def started(self, at: float) -> float | None:
+    def start_time(self, at: float) -> float | None:
         return None
 
 
