--- a/brackenwalk/discovery_calls.py
+++ b/brackenwalk/discovery_calls.py
@@ -19,8 +19,8 @@
 class DiscoveryCalls:
     """Schedules the calls of one router; delays are seconds from now until its next."""
 
-    def __init__(self, settings: api.Settings, chance: random.Random, now: float) -> None:
-        self.settings, self.random = settings, chance
+    def __init__(self, settings: api.Settings, rng: random.Random, now: float) -> None:
+        self.settings, self.random = settings, rng
         self.turn = min(TURN_S, min(MAX_ROUND_S, POLL_SHARE * settings.max_list_age) / settings.siblings)
         self.round = settings.siblings * self.turn  # in which every router has one turn
         self.called_at, self.listed_at = now - QUEUE_TIMEOUT_S[0], -math.inf
@@ -45,15 +45,15 @@
     def delay_after_failure(self, now: float) -> float:
         """Return the delay until the retry, in turn: discovery may be back, and its changes count soon."""
         doubled, self.failures = 2.0 ** min(16, self.failures), self.failures + 1
-        conf, waited, silent = self.settings, now - self.called_at, now - self.listed_at
-        if not conf.subscribe:  # the list is pushed, by an agent that this router has to itself
-            return min(conf.drain_grace / 2, TURN_S * doubled) * self.random.uniform(0.5, 1.0)
+        settings, waited, silent = self.settings, now - self.called_at, now - self.listed_at
+        if not settings.subscribe:  # the list is pushed, by an agent that this router has to itself
+            return min(settings.drain_grace / 2, TURN_S * doubled) * self.random.uniform(0.5, 1.0)
         if silent <= waited or waited < QUEUE_TIMEOUT_S[0]:  # a watch broke, or a call failed at no cost
-            rounds = min(doubled, POLL_SHARE * min(MAX_ROUND_S, conf.max_list_age) / self.round)
+            rounds = min(doubled, POLL_SHARE * min(MAX_ROUND_S, settings.max_list_age) / self.round)
             delay = self.delay_until_turn(now, self.turn / 2) + max(0, int(rounds) - 1) * self.round
-            left = PROPAGATION_S - silent + POLL_SHARE * conf.drain_grace
+            left = PROPAGATION_S - silent + POLL_SHARE * settings.drain_grace
             if silent <= waited and 0 < left < delay:  # it was silent; what it missed counts as known soon
-                delay = left * (conf.sibling_index + self.random.random()) / conf.siblings
+                delay = left * (settings.sibling_index + self.random.random()) / settings.siblings
             return delay
         if waited < QUEUE_TIMEOUT_S[1]:  # guards against an endless queue: abandoned calls are still served
             self.backoff_rounds = min(MAX_BACKOFF_ROUNDS, 3 * self.backoff_rounds or 1)
--- a/brackenwalk/gossip.py
+++ b/brackenwalk/gossip.py
@@ -23,8 +23,8 @@
 class Gossip:
     """The messages of one router to its peers, and their schedule; times are seconds."""
 
-    def __init__(self, settings: api.Settings, chance: random.Random, now: float) -> None:
-        self.settings, self.random = settings, chance
+    def __init__(self, settings: api.Settings, rng: random.Random, now: float) -> None:
+        self.settings, self.random = settings, rng
         self.sent_share = min(1.0, MAX_SENDERS / settings.siblings)  # of own requests that peers are sent
         self.interval = INTERVAL_FACTOR * settings.shortest_aim
         self.demand = Demand(self.sent_share, MAX_AGE_FACTOR * settings.shortest_aim)
--- a/brackenwalk/interface.py
+++ b/brackenwalk/interface.py
@@ -82,7 +82,7 @@
     retry_safety: RetrySafety = RetrySafety.SAFE
     repeat_group: RepeatGroup = RepeatGroup.ALL
     repeat_window: float = 0.0  # seconds in which servers recognise a repeat of a keyed request
-    value: float = 1.0  # requests of higher value leave the origin queue first
+    priority: float = 1.0  # requests of higher priority leave the origin queue first
     client_timeout: float = math.inf  # the longest that a client waits
 
 
--- a/brackenwalk/policy.py
+++ b/brackenwalk/policy.py
@@ -53,12 +53,12 @@
         self.gossip = Gossip(settings, self.random, now)
         self.demand = self.gossip.demand
         self.shares = TrafficShares(settings, self.demand, now)
-        self.weights: dict[str, float] = {}  # the largest weight seen of each kind
-        self.pending: dict[str, PendingRequest] = {}
+        self.largest_weights: dict[str, float] = {}  # the largest weight seen of each kind
+        self.pending_requests: dict[str, PendingRequest] = {}
         self.attempts: dict[tuple[str, int], Attempt] = {}
         self.queue: list[tuple[float, int, PendingRequest]] = []  # by value, then age
         self.queue_sequence = self.accepted = 0
-        self.retry_budget, self.keep = MAX_RETRY_BUDGET, KEEP_SHARE
+        self.retry_budget, self.keep_share = MAX_RETRY_BUDGET, KEEP_SHARE
         self.started_at = now
         self.stop_at = math.inf  # deadline of all requests during shutdown
         self._build_ring()
@@ -80,10 +80,10 @@
                 if name_hash in self.servers_by_hash:
                     self.shares.cut_health(self.servers_by_hash[name_hash])
                     self.gossip.remove_unhealthy(self.servers_by_hash[name_hash])
-        elif isinstance(event, api.ClientGone) and event.request_id in self.pending:
-            self._remove(self.pending[event.request_id])
-        elif isinstance(event, api.ResponseStarted) and event.request_id in self.pending:
-            self.pending[event.request_id].response_started = True
+        elif isinstance(event, api.ClientGone) and event.request_id in self.pending_requests:
+            self._remove(self.pending_requests[event.request_id])
+        elif isinstance(event, api.ResponseStarted) and event.request_id in self.pending_requests:
+            self.pending_requests[event.request_id].response_started = True
         elif isinstance(event, api.Shutdown):
             self._on_shutdown(event)
         return self.actions
@@ -91,10 +91,10 @@
     def _on_shutdown(self, event: api.Shutdown) -> None:
         """Bring the deadlines of pending requests forward to the shutdown."""
         self.stop_at = self.now + event.time_left - self.settings.resolution
-        for req in self.pending.values():
-            req.deadline = min(req.deadline, self.stop_at)
-            if req.waiting:
-                self._set_wait_timer(req)
+        for pending in self.pending_requests.values():
+            pending.deadline = min(pending.deadline, self.stop_at)
+            if pending.waiting:
+                self._set_wait_timer(pending)
 
     def _on_list(self, event: api.ServerList) -> None:
         if event.kind is api.ListKind.FAILED:
@@ -116,8 +116,10 @@
             elif known is None or entry.started_at > known.entry.started_at:  # new process: start afresh
                 self._remove_server(entry.server)
                 origin = self.settings.aside and entry.kind == self.settings.origin_kind
-                hashed = ring_hash(entry.server)[0] >> 32
-                self.servers[entry.server] = self.servers_by_hash[hashed] = Server(entry, not origin, hashed)
+                name_hash = ring_hash(entry.server)[0] >> 32
+                self.servers[entry.server] = self.servers_by_hash[name_hash] = Server(
+                    entry, not origin, name_hash
+                )
             else:
                 known.entry = entry
         if event.entries or event.kind is not api.ListKind.DELTA:
@@ -128,9 +130,9 @@
             # guards against calls in step: one that queues too long fails, and discovery still works it off
             self.actions.append(api.SetTimer(self.discovery_calls.delay_until_turn(self.now), "list"))
         queue, self.queue = sorted(self.queue), []
-        for req in (q[2] for q in queue if q[2].waiting):
-            req.waiting = False
-            self._advance(req)
+        for pending in (q[2] for q in queue if q[2].waiting):
+            pending.waiting = False
+            self._advance(pending)
 
     def _remove_server(self, name: str) -> None:
         if name in self.servers:
@@ -145,59 +147,65 @@
         self.origins = [s for s in self.servers.values() if not s.is_cache and s.entry.ready]
         self.shares.update_servers(caches)
         for s in caches:
-            s.weight = s.entry.weight
+            s.ring_weight = s.entry.weight
             if self.settings.live_weights:
                 # live weights fall with load and arrive late: on the ring they moved keys with every list
-                s.weight = self.weights[s.entry.kind] = max(self.weights.get(s.entry.kind, 0.0), s.weight)
-                s.reported_load = s.weight / s.entry.weight - 1 if s.entry.weight else 0.0
-        largest = max((s.weight for s in caches), default=0.0) or 1.0  # also for a missing weight
+                s.ring_weight = self.largest_weights[s.entry.kind] = max(
+                    self.largest_weights.get(s.entry.kind, 0.0), s.ring_weight
+                )
+                s.reported_load = s.ring_weight / s.entry.weight - 1 if s.entry.weight else 0.0
+        largest = max((s.ring_weight for s in caches), default=0.0) or 1.0  # also for a missing weight
         unit = 2.0 ** math.ceil(math.log2(largest))  # a power of two, which rarely changes with the fleet
         for s in self.servers.values():
-            s.weight = s.weight or largest
+            s.ring_weight = s.ring_weight or largest
             self.ring.set_virtual_nodes(
-                s, s.entry.server, math.ceil(VNODES * s.weight / unit) if s.is_cache and s.entry.ready else 0
+                s,
+                s.entry.server,
+                math.ceil(VNODES * s.ring_weight / unit) if s.is_cache and s.entry.ready else 0,
             )
         self.ring.apply_changes()
-        self.shares.total_weight = sum(s.weight for s in caches)
+        self.shares.total_weight = sum(s.ring_weight for s in caches)
         self.mean_reported = sum(s.reported_load for s in caches) / max(1, len(caches))
 
     def _origin(self) -> Server | None:
         """The origin with the fewest requests in flight, of those that are ready."""
         return min(self.origins, key=lambda s: s.in_flight, default=None)
 
-    def _choose(self, req: PendingRequest) -> Server | None:
+    def _choose(self, pending: PendingRequest) -> Server | None:
         """Walk with bounded loads: load beyond (1 + epsilon) fair shares of a server spills clockwise."""
-        portions = self.shares.hot_shares.get(req.ring_position >> 32, {})
+        portions = self.shares.hot_shares.get(pending.ring_position >> 32, {})
         planned = sum(portions.values())
-        flow = self.random.random() * planned
-        cap = (1 + EPSILON) * max(1.0, self.mean_reported)  # at random, as all routers read one late report
+        draw = self.random.random() * planned
+        load_cap = (1 + EPSILON) * max(
+            1.0, self.mean_reported
+        )  # at random, as all routers read one late report
         full = 0
-        best = None
-        for server in self._clockwise(req.ring_position):
-            if self._eligible(req, server):
+        fallback = None
+        for server in self._clockwise(pending.ring_position):
+            if self._eligible(pending, server):
                 portion = portions.get(server, 0.0)
-                flow -= portion
+                draw -= portion
                 accepts = not self.shares.is_cold(server) or self._cold_accepts(
-                    req, server, portion / planned if portion else 1.0
+                    pending, server, portion / planned if portion else 1.0
                 )
-                if flow <= 0 and accepts and server.reported_load * self.random.random() <= cap:
+                if draw <= 0 and accepts and server.reported_load * self.random.random() <= load_cap:
                     return server
-                best = best or (None if self.shares.is_cold(server) else server)
+                fallback = fallback or (None if self.shares.is_cold(server) else server)
             elif server.in_flight >= server.limit and server not in portions and not self._is_silent(server):
                 full += 1
                 if full >= MAX_SPILL:
                     break
-        return best  # all exceed the cap: the first is as good as any and likelier to have the key
+        return fallback  # all exceed the cap: the first is as good as any and likelier to have the key
 
-    def _cold_accepts(self, req: PendingRequest, server: Server, planned: float) -> bool:
+    def _cold_accepts(self, pending: PendingRequest, server: Server, planned: float) -> bool:
         """Whether a cold server takes the request: of its own share only, and never a retry."""
-        key = req.ring_position >> 32
+        key = pending.ring_position >> 32
         part = self.shares.key_share(key, server) / planned  # of its planned portion
         # guards the origin: split at random, each small key would be fetched for two servers
-        small = self.demand.share(key) < HOT_KEY_SHARE * server.weight / self.shares.total_weight
-        draw = (req.ring_position & 0xFFFFFFFF) / 2**32 if small else self.random.random()
-        req.skipped_cold = bool(req.attempts) or draw >= part
-        return not req.skipped_cold
+        small = self.demand.share(key) < HOT_KEY_SHARE * server.ring_weight / self.shares.total_weight
+        draw = (pending.ring_position & 0xFFFFFFFF) / 2**32 if small else self.random.random()
+        pending.skipped_cold = bool(pending.attempts) or draw >= part
+        return not pending.skipped_cold
 
     def _clockwise(self, position: int) -> Iterator[Server]:
         """Yield each server once, in the order of the walk."""
@@ -209,20 +217,20 @@
             seen.add(server)
             yield server
 
-    def _refuses_early(self, req: PendingRequest, server: Server) -> bool:
+    def _refuses_early(self, pending: PendingRequest, server: Server) -> bool:
         """Refuse at random what, by reported load or own waits, comes too late; full queues make all late."""
         load = server.reported_load / MAX_WAIT_SHARE if self.settings.live_weights else 1.0
-        return self.random.random() * self.mean_wait * load > req.deadline - self.now
+        return self.random.random() * self.mean_wait * load > pending.deadline - self.now
 
-    def _eligible(self, req: PendingRequest, server: Server) -> bool:
+    def _eligible(self, pending: PendingRequest, server: Server) -> bool:
         """Whether the request may go to a server now."""
         silent = server.in_flight and self._is_silent(server)
         if silent:
             self._mark_unhealthy(server)
         full = server.in_flight >= server.limit or silent
-        tried = any(a.server is server for a in req.attempts)
+        tried = any(a.server is server for a in pending.attempts)
         down = server.failures >= MAX_FAILURES and self.now - server.used_at < SILENT_AIMS * self.shortest_aim
-        return not (full or tried or down or self._zone_down(server)) and self._permits(req, server)
+        return not (full or tried or down or self._zone_down(server)) and self._permits(pending, server)
 
     def _zone_down(self, server: Server) -> bool:
         """Whether no server of its zone answers; the zone then gets one trial every SILENT_AIMS."""
@@ -247,82 +255,97 @@
         return self.now - server.unanswered_since > SILENT_AIMS * self.shortest_aim
 
     def _on_request(self, request: api.Request) -> None:
-        spec = self.settings.classes.get(request.request_class)
-        if spec is None:  # counted as demand, what is never sent would displace what is
+        request_class = self.settings.classes.get(request.request_class)
+        if request_class is None:  # counted as demand, what is never sent would displace what is
             self.actions.append(api.Refuse(request.id))
             return
-        deadline = min(self.stop_at, self.now + min(request.time_left - self.settings.resolution, spec.aim))
+        deadline = min(
+            self.stop_at, self.now + min(request.time_left - self.settings.resolution, request_class.aim)
+        )
         position = ring_hash(request.id if request.key is None else request.key)[0]
         to_origin = self.settings.aside and request.write
-        req = self.pending[request.id] = PendingRequest(request, spec, deadline, to_origin, position)
+        pending = self.pending_requests[request.id] = PendingRequest(
+            request, request_class, deadline, to_origin, position
+        )
         self.accepted += 1
-        if not req.to_origin:
-            self.demand.add(req.ring_position >> 32)
+        if not pending.to_origin:
+            self.demand.add(pending.ring_position >> 32)
         if self.caches and self.gossip.due(self.now):
             self.shares.plan(self._clockwise, self.ring.owner_at)
             if message := self.gossip.next_message(self.now):
                 self.actions.append(api.Broadcast(message))
         self.retry_budget = min(MAX_RETRY_BUDGET, self.retry_budget + RETRY_SHARE)
-        self._advance(req)
+        self._advance(pending)
 
-    def _permits(self, req: PendingRequest, server: Server | None) -> bool:
+    def _permits(self, pending: PendingRequest, server: Server | None) -> bool:
         """Whether the class permits another send to this server or, with None, a refusal."""
-        spec = req.request_class
-        ran = [a for a in req.attempts if a.may_have_run]
-        waits = req.open_attempts() and not self.settings.second_copies
-        if server is not None and (waits or len(req.attempts) >= self.settings.max_attempts):
+        request_class = pending.request_class
+        ran = [a for a in pending.attempts if a.may_have_run]
+        waits = pending.open_attempts() and not self.settings.second_copies
+        if server is not None and (waits or len(pending.attempts) >= self.settings.max_attempts):
             return False
-        if spec.retry_safety is api.RetrySafety.SAFE or not ran:
+        if request_class.retry_safety is api.RetrySafety.SAFE or not ran:
             return True
-        if spec.retry_safety is api.RetrySafety.UNSAFE or server is None:
-            return spec.retry_safety is api.RetrySafety.KEYED and spec.repeat_group is api.RepeatGroup.ALL
+        if request_class.retry_safety is api.RetrySafety.UNSAFE or server is None:
+            return (
+                request_class.retry_safety is api.RetrySafety.KEYED
+                and request_class.repeat_group is api.RepeatGroup.ALL
+            )
         # guards against a second effect: a dial may delay the send past the window
-        in_window = self.now + self.settings.dial_timeout < min(a.sent_at for a in ran) + spec.repeat_window
-        return in_window and all(spec.repeat_group.shared_by(a.server.entry, server.entry) for a in ran)
-
-    def _advance(self, req: PendingRequest) -> None:
+        in_window = (
+            self.now + self.settings.dial_timeout < min(a.sent_at for a in ran) + request_class.repeat_window
+        )
+        return in_window and all(
+            request_class.repeat_group.shared_by(a.server.entry, server.entry) for a in ran
+        )
+
+    def _advance(self, pending: PendingRequest) -> None:
         """Send the next attempt, queue the request, or finish it."""
-        to_ring = self.caches and not req.to_origin
-        server = self._choose(req) if to_ring else self._origin()
-        if self.now >= req.deadline or (server is None or not self._permits(req, server)) and req.attempts:
-            self._finish(req)
+        to_ring = self.caches and not pending.to_origin
+        server = self._choose(pending) if to_ring else self._origin()
+        if (
+            self.now >= pending.deadline
+            or (server is None or not self._permits(pending, server))
+            and pending.attempts
+        ):
+            self._finish(pending)
         elif not to_ring:
-            self._enqueue(req)
-        elif server is None or self._refuses_early(req, server):
-            self._finish(req)
+            self._enqueue(pending)
+        elif server is None or self._refuses_early(pending, server):
+            self._finish(pending)
         else:
-            self._send(req, server)
+            self._send(pending, server)
 
-    def _send(self, req: PendingRequest, server: Server) -> None:
-        target = (CACHE_TARGET_SHARE if server.is_cache else ORIGIN_TARGET_SHARE) * req.request_class.aim
-        attempt = self.attempts[req.request.id, len(req.attempts)] = Attempt(server, target, self.now)
-        req.attempts.append(attempt)
+    def _send(self, pending: PendingRequest, server: Server) -> None:
+        target = (CACHE_TARGET_SHARE if server.is_cache else ORIGIN_TARGET_SHARE) * pending.request_class.aim
+        attempt = self.attempts[pending.request.id, len(pending.attempts)] = Attempt(server, target, self.now)
+        pending.attempts.append(attempt)
         server.in_flight += 1
         server.unanswered_since = min(server.unanswered_since, self.now)
         if server.is_cache and (zone := self.shares.zones.get(server.entry.zone)) is not None:
             zone.last_send_at = self.now
-        self.actions.append(api.Send(req.request.id, server.entry.server))
-        self._schedule_copy(req, attempt)
+        self.actions.append(api.Send(pending.request.id, server.entry.server))
+        self._schedule_copy(pending, attempt)
 
-    def _schedule_copy(self, req: PendingRequest, last: Attempt) -> None:
+    def _schedule_copy(self, pending: PendingRequest, last: Attempt) -> None:
         """Set a timer for a second copy, due when the attempt has taken far longer than usual."""
         last.copy_at = self.now + max(last.target_latency, LOST_FACTOR * last.server.latency)
-        if self.settings.second_copies and last.copy_at < req.deadline:
-            self.actions.append(api.SetTimer(last.copy_at - self.now, "late:" + req.request.id))
+        if self.settings.second_copies and last.copy_at < pending.deadline:
+            self.actions.append(api.SetTimer(last.copy_at - self.now, "late:" + pending.request.id))
 
-    def _send_copy(self, req: PendingRequest, last: Attempt) -> None:
+    def _send_copy(self, pending: PendingRequest, last: Attempt) -> None:
         """Send a second copy of a lost request: far past its usual latency, with later sends answered."""
         late = last.open and self.now >= last.copy_at - self.settings.resolution / 2
         if late:
             self._count_unanswered(last)
-        slow = last.server.last_answered <= last.sent_at and not self._zone_down(last.server)
+        slow = last.server.last_answered_send_at <= last.sent_at and not self._zone_down(last.server)
         if late and slow:  # guards against feeding a slow server: its answers are late, not lost
-            self._schedule_copy(req, last)
+            self._schedule_copy(pending, last)
         elif late and self.retry_budget >= 1:
-            server = self._choose(req) if last.server.is_cache else self._origin()
-            if server is not None and server.in_flight < server.limit and self._permits(req, server):
+            server = self._choose(pending) if last.server.is_cache else self._origin()
+            if server is not None and server.in_flight < server.limit and self._permits(pending, server):
                 self.retry_budget -= 1
-                self._send(req, server)
+                self._send(pending, server)
 
     def _on_timer(self, event: api.TimerFired) -> None:
         timer, _, name = event.token.partition(":")
@@ -332,13 +355,13 @@
         elif timer == "idle" and (idle := self.servers.get(name)) is not None:
             idle.check_at = idle.check_at if self.now < idle.check_at - self.settings.resolution else math.inf
             self._close_idle(idle)
-        req = self.pending.get(name)
-        if req is not None and req.waiting:
+        pending = self.pending_requests.get(name)
+        if pending is not None and pending.waiting:
             # tolerates half the resolution: rounding may fire a timer slightly early
-            late = self.now >= self._latest_start(req, self._origin()) - self.settings.resolution / 2
-            (self._finish if late else self._set_wait_timer)(req)
-        elif req is not None and timer == "late" and not req.response_started:
-            self._send_copy(req, req.attempts[-1])
+            late = self.now >= self._latest_start(pending, self._origin()) - self.settings.resolution / 2
+            (self._finish if late else self._set_wait_timer)(pending)
+        elif pending is not None and timer == "late" and not pending.response_started:
+            self._send_copy(pending, pending.attempts[-1])
 
     def _close_idle(self, server: Server) -> None:
         """Close connections that have cost more than a new one; guards against full connection tables."""
@@ -346,8 +369,8 @@
         if server.in_flight or not cost:
             return
         rate = self.accepted / max(self.now - self.started_at, self.shortest_aim) * self.settings.siblings
-        keep = self.keep * self.settings.handshake_cost / cost * 100 * len(self.caches) / rate
-        left = server.used_at + keep - self.now
+        keep_time = self.keep_share * self.settings.handshake_cost / cost * 100 * len(self.caches) / rate
+        left = server.used_at + keep_time - self.now
         if left < self.settings.resolution:
             self.actions.append(api.CloseIdle(server.entry.server))
         elif left < min(self.settings.idle_timeout, (server.check_at - self.now) / 2):
@@ -355,25 +378,27 @@
             server.check_at = self.now + left
             self.actions.append(api.SetTimer(left, "idle:" + server.entry.server))
 
-    def _finish(self, req: PendingRequest) -> None:
+    def _finish(self, pending: PendingRequest) -> None:
         """Give the final answer: a refusal where the class permits one, else a failure."""
-        req.waiting = False
-        if req.response_started or req.open_attempts():
+        pending.waiting = False
+        if pending.response_started or pending.open_attempts():
             return
-        name, origin = req.request.id, self._origin() if req.to_origin else None
+        name, origin = pending.request.id, self._origin() if pending.to_origin else None
         # the obstacle should be gone by then; the jitter guards against all refused clients returning at once
         usual = 2 * (origin.latency if origin else self.mean_wait)
-        if req.skipped_cold and not req.attempts:  # cold servers' load counts by the window
+        if pending.skipped_cold and not pending.attempts:  # cold servers' load counts by the window
             usual = max(usual, self.settings.overload_window)
         retry_after = min(self.settings.max_retry_after, usual) * self.random.uniform(0.5, 1.0)
-        self.actions.append(api.Refuse(name, retry_after) if self._permits(req, None) else api.Fail(name))
-        self._remove(req)
+        self.actions.append(api.Refuse(name, retry_after) if self._permits(pending, None) else api.Fail(name))
+        self._remove(pending)
 
-    def _remove(self, req: PendingRequest) -> None:
-        req.waiting = False
-        del self.pending[req.request.id]
+    def _remove(self, pending: PendingRequest) -> None:
+        pending.waiting = False
+        del self.pending_requests[pending.request.id]
         if self.settings.may_cancel:
-            self.actions += [api.Cancel(req.request.id, i) for i, a in enumerate(req.attempts) if a.open]
+            self.actions += [
+                api.Cancel(pending.request.id, i) for i, a in enumerate(pending.attempts) if a.open
+            ]
 
     def _on_outcome(self, event: api.Outcome) -> None:
         attempt = self.attempts.pop((event.request_id, event.attempt), None)
@@ -386,7 +411,9 @@
         if relevant:
             attempt.server.unanswered_since = math.inf
         # a send before one that was answered got lost on its way, and says nothing about the server
-        relevant |= event.status is api.Status.TIMEOUT and attempt.server.last_answered <= attempt.sent_at
+        relevant |= (
+            event.status is api.Status.TIMEOUT and attempt.server.last_answered_send_at <= attempt.sent_at
+        )
         attempt.server.used_at = self.now
         failed = event.status is api.Status.CONNECT_FAILED
         if failed:
@@ -397,69 +424,73 @@
                 if zone.unanswered >= MAX_FAILURES and len(self.shares.zones) > 1:
                     self.shares.zone_recovered(zone)
                 zone.last_answer_at, zone.unanswered = self.now, 0
-        self.keep = self.keep / 2 if failed else self.keep + KEEP_RECOVERY_SHARE * (KEEP_SHARE - self.keep)
+        self.keep_share = (
+            self.keep_share / 2
+            if failed
+            else self.keep_share + KEEP_RECOVERY_SHARE * (KEEP_SHARE - self.keep_share)
+        )
         self._close_idle(attempt.server)
         if relevant:
             self._update_limit(attempt, event)
-        req = self.pending.get(event.request_id)
-        if req is not None:
-            missed = event.status is api.Status.MISS and not req.to_origin  # even with copies in flight
+        pending = self.pending_requests.get(event.request_id)
+        if pending is not None:
+            missed = event.status is api.Status.MISS and not pending.to_origin  # even with copies in flight
             if event.request_done or event.status is api.Status.OK:
-                self._remove(req)
-            elif not req.waiting and (missed or not req.open_attempts()):
-                self._after_failure(req, event)
+                self._remove(pending)
+            elif not pending.waiting and (missed or not pending.open_attempts()):
+                self._after_failure(pending, event)
         if not attempt.server.is_cache:
             self._serve_queue()
 
-    def _after_failure(self, req: PendingRequest, event: api.Outcome) -> None:
+    def _after_failure(self, pending: PendingRequest, event: api.Outcome) -> None:
         """Go to the origin after a miss; after anything else retry, while the budget lasts."""
         if event.status is api.Status.MISS and self.settings.aside:
-            req.to_origin = True
+            pending.to_origin = True
         elif event.status is api.Status.ERROR and not self.settings.aside:
-            req.deadline = self.now  # guards a failing origin: each server tried would fetch again
-        elif not req.to_origin and (
+            pending.deadline = self.now  # guards a failing origin: each server tried would fetch again
+        elif not pending.to_origin and (
             event.status is not api.Status.BUSY or self.shares.success_share < FREE_RETRY_SHARE
         ):
             # guards against feeding an overload: with busy servers each request became a dozen attempts
-            req.deadline = req.deadline if self.retry_budget >= 1 else self.now
+            pending.deadline = pending.deadline if self.retry_budget >= 1 else self.now
             self.retry_budget = max(0.0, self.retry_budget - 1)
-        self._advance(req)
+        self._advance(pending)
 
-    def _enqueue(self, req: PendingRequest) -> None:
+    def _enqueue(self, pending: PendingRequest) -> None:
         """Queue for the origin, or any server: by value, or writes would wait behind misses; then by age."""
-        req.waiting = True
-        self._set_wait_timer(req)
+        pending.waiting = True
+        self._set_wait_timer(pending)
         self.queue_sequence += 1
-        heapq.heappush(self.queue, (-req.request_class.value, self.queue_sequence, req))
+        heapq.heappush(self.queue, (-pending.request_class.priority, self.queue_sequence, pending))
         self._serve_queue()
 
-    def _set_wait_timer(self, req: PendingRequest) -> None:
+    def _set_wait_timer(self, pending: PendingRequest) -> None:
         """Set a timer, so that a queued request is answered in time whatever happens."""
-        pause = max(0.0, self._latest_start(req, self._origin()) - self.now)
-        self.actions.append(api.SetTimer(pause, "wait:" + req.request.id))
+        pause = max(0.0, self._latest_start(pending, self._origin()) - self.now)
+        self.actions.append(api.SetTimer(pause, "wait:" + pending.request.id))
 
-    def _latest_start(self, req: PendingRequest, origin: Server | None) -> float:
+    def _latest_start(self, pending: PendingRequest, origin: Server | None) -> float:
         """The latest start of a fetch that is back in time; writes need less time, as they store nothing."""
-        room = 1.0 if req.request.write else FETCH_FACTOR
-        return req.deadline - room * origin.latency if origin is not None else req.deadline
+        latency_factor = 1.0 if pending.request.write else FETCH_FACTOR
+        return pending.deadline - latency_factor * origin.latency if origin is not None else pending.deadline
 
     def _serve_queue(self) -> None:
         while self.queue and (origin := self._origin()) is not None and origin.in_flight < origin.limit:
-            req = heapq.heappop(self.queue)[2]
-            if not req.waiting:
+            pending = heapq.heappop(self.queue)[2]
+            if not pending.waiting:
                 continue
-            req.waiting = False
+            pending.waiting = False
             # no fetch that would come back too late, except one at a time to measure the origin's latency
-            fits = self.now < (self._latest_start(req, origin) if origin.in_flight else req.deadline)
-            if fits and self._permits(req, origin):
-                self._send(req, origin)
+            fits = self.now < (self._latest_start(pending, origin) if origin.in_flight else pending.deadline)
+            if fits and self._permits(pending, origin):
+                self._send(pending, origin)
             else:
-                self._finish(req)
+                self._finish(pending)
         # guards clients against waiting in vain: refused now, they still have time for a retry
         origin = self._origin()  # looked up once, not for each queued request
-        for _, _, req in self.queue:
-            if req.waiting and self.now >= self._latest_start(req, origin):
-                self._finish(req)
+        for _, _, pending in self.queue:
+            if pending.waiting and self.now >= self._latest_start(pending, origin):
+                self._finish(pending)
         self.queue = [q for q in self.queue if q[2].waiting]  # or ended ones pile up behind higher values
         heapq.heapify(self.queue)
 
@@ -467,7 +498,7 @@
         """Adapt the concurrency limit: cut it when the server is slow or busy, else raise it a little."""
         server = attempt.server
         ok = event.status in (api.Status.OK, api.Status.MISS)
-        server.last_answered = max(server.last_answered, attempt.sent_at if ok else -math.inf)
+        server.last_answered_send_at = max(server.last_answered_send_at, attempt.sent_at if ok else -math.inf)
         server.failures = 0 if ok else server.failures + (event.status not in (*NO_ANSWER, api.Status.BUSY))
         if server.failures >= MAX_FAILURES:
             self._mark_unhealthy(server)
--- a/brackenwalk/settings.py
+++ b/brackenwalk/settings.py
@@ -45,9 +45,9 @@
     return choices[value]
 
 
-def read_section(conf: dict[str, Any], field: str) -> dict[str, Any]:
+def read_section(table: dict[str, Any], field: str) -> dict[str, Any]:
     """Return a nested object, empty if the field is absent. Raises SettingsError for other values."""
-    value = conf.get(field)
+    value = table.get(field)
     if value is None:
         return {}
     if not isinstance(value, dict):
@@ -55,9 +55,9 @@
     return value
 
 
-def read_rows(conf: dict[str, Any], field: str) -> list[dict[str, Any]]:
+def read_rows(table: dict[str, Any], field: str) -> list[dict[str, Any]]:
     """Return a list of objects, empty if the field is absent. Raises SettingsError if one has no name."""
-    value = conf.get(field)
+    value = table.get(field)
     value = [] if value is None else value
     if not isinstance(value, list) or not all(isinstance(r, dict) for r in value):
         raise api.SettingsError(f"settings: {field} must be a list of objects")
@@ -77,44 +77,44 @@
         retry_safety=read_choice(row, "effect", "single_shot", RETRY_SAFETY, prefix),
         repeat_group=read_choice(row, "group", "cell", groups, prefix),
         repeat_window=read_number(row, "repeatWindow", 0.0, prefix),
-        value=read_number(row, "value", 1.0, prefix),
+        priority=read_number(row, "value", 1.0, prefix),
         client_timeout=read_number(row, "giveUp", math.inf, prefix),
     )
 
 
-def read_settings(conf: Any) -> api.Settings:
+def read_settings(table: Any) -> api.Settings:
     """Read all settings; unknown keys are ignored, and absent ones take their defaults.
 
     Raises SettingsError, which names the field, for a value that can't be used.
     """
-    if not isinstance(conf, dict):
+    if not isinstance(table, dict):
         raise api.SettingsError("settings: must be an object")
-    classes = {row["name"]: read_class(row) for row in read_rows(conf, "classes")}
+    classes = {row["name"]: read_class(row) for row in read_rows(table, "classes")}
     if not classes:
         raise api.SettingsError("settings: classes is empty")
     limits, rules, info = (
-        read_section(conf, "limits"),
-        read_section(conf, "rules"),
-        read_section(conf, "familyInfo"),
+        read_section(table, "limits"),
+        read_section(table, "rules"),
+        read_section(table, "familyInfo"),
     )
-    costs = read_section(conf, "penalties")
-    kinds = conf.get("skus") or []
+    costs = read_section(table, "penalties")
+    kinds = table.get("skus") or []
     origin = int(read_number(info, "originKind", -1, "familyInfo.", -1))
     return api.Settings(
         classes=classes,
-        resolution=read_number(conf, "resolution", 0.005, ""),
+        resolution=read_number(table, "resolution", 0.005, ""),
         aside=read_choice(info, "mode", "through", {"aside": True, "through": False}, "familyInfo."),
         origin_kind=str(kinds[origin]) if 0 <= origin < len(kinds) else None,
         subscribe=read_choice(
-            conf, "membershipMode", "automatic", {"subscribe": True, "automatic": False}, ""
+            table, "membershipMode", "automatic", {"subscribe": True, "automatic": False}, ""
         ),
-        live_weights=conf.get("weights") == "live",
+        live_weights=table.get("weights") == "live",
         second_copies=bool(limits.get("secondCopies", False)),
         may_cancel=bool(limits.get("mayCancel", False)),
         may_gossip=bool(limits.get("peers", False)),
         max_attempts=max(1, int(read_number(limits, "mostTries", 1, "limits."))),
-        siblings=max(1, int(read_number(conf, "siblings", 1, ""))),
-        sibling_index=int(read_number(conf, "me", 0, "")),
+        siblings=max(1, int(read_number(table, "siblings", 1, ""))),
+        sibling_index=int(read_number(table, "me", 0, "")),
         idle_timeout=read_number(limits, "connIdle", 60.0, "limits."),
         dial_timeout=read_number(limits, "dialTimeout", 0.25, "limits."),
         max_retry_after=read_number(limits, "maxRetryAfter", 0.0, "limits."),
--- a/brackenwalk/shares.py
+++ b/brackenwalk/shares.py
@@ -102,7 +102,7 @@
         """The share of a key's requests that a server may take; no key fills more than its fair share."""
         if not self.is_cold(server):
             return 1.0
-        fair = server.weight / self.total_weight
+        fair = server.ring_weight / self.total_weight
         return self.accepted_share(server) * min(1.0, fair / self.demand.share(key))
 
     def fair(self) -> dict[Server, float]:
@@ -121,21 +121,23 @@
         """The mean over all servers by weight, of a share that is 1 for servers not in `reduced`."""
         return 1 - sum(self.weight_shares[s] * (1 - share(s)) for s in self.reduced)
 
-    def plan(self, clockwise: Callable[[int], Iterator[Server]], first: Callable[[int], Server]) -> None:
+    def plan(self, clockwise: Callable[[int], Iterator[Server]], owner_at: Callable[[int], Server]) -> None:
         """Update `reduced` and the means, and distribute the hot keys among all servers."""
         if not self.weight_shares:
-            self.weight_shares = {s: s.weight / self.total_weight for s in self.caches}
+            self.weight_shares = {s: s.ring_weight / self.total_weight for s in self.caches}
         # a draining server gets no new requests, but those in flight may still show it as unhealthy
         known = (s for s in self.reduced if s in self.weight_shares)
         self.reduced = dict.fromkeys(s for s in known if self.is_cold(s) or self.health(s) < 1)
         self.mean_health = self._weighted_mean(self.health)
         self.mean_kept = self._weighted_mean(self.kept)  # or cold servers would get more as others keep less
-        able = self._weighted_mean(self.warm_up_share)
-        self.cold_factor = min(self.settings.overload_factor / 2, 1 / able if able > 0 else math.inf)
+        mean_warm_up = self._weighted_mean(self.warm_up_share)
+        self.cold_factor = min(
+            self.settings.overload_factor / 2, 1 / mean_warm_up if mean_warm_up > 0 else math.inf
+        )
 
-        def whole(position: int) -> Server | None:
-            return None if (server := first(position)) in self.reduced else server
+        def sole_server(position: int) -> Server | None:
+            return None if (server := owner_at(position)) in self.reduced else server
 
         self.hot_shares = self.demand.split_hot_keys(
-            self.fair(), 1 + EPSILON, clockwise, self.key_share, whole
+            self.fair(), 1 + EPSILON, clockwise, self.key_share, sole_server
         )
--- a/brackenwalk/state.py
+++ b/brackenwalk/state.py
@@ -18,14 +18,14 @@
     is_cache: bool = True  # False for an origin
     name_hash: int = 0  # 32 bits of the hash of its name, by which gossip messages name it
     in_flight: int = 0  # this router's open attempts
-    weight: float = 1.0  # on the ring; unlike the listed weight it does not fall with load
+    ring_weight: float = 1.0  # unlike the listed weight it does not fall with load
     reported_load: float = 0.0  # requests of all routers per unit of weight, as listed some seconds ago
     limit: float = INITIAL_LIMIT  # concurrency limit on `in_flight`
     limit_cut_at: float = -math.inf  # time of the latest cut of the limit
     latency: float = 0.0  # smoothed, in seconds
     latency_ratio: float = 0.0  # smoothed latency over target latency; a single answer says little
     unanswered_since: float = math.inf  # first send after its latest answer
-    last_answered: float = -math.inf  # time of the latest send that got an answer
+    last_answered_send_at: float = -math.inf  # time of the latest send that got an answer
     used_at: float = 0.0  # latest end of an attempt
     check_at: float = math.inf  # when the pending timer will check its idle connections
     failures: int = 0
--- a/tests/driver.py
+++ b/tests/driver.py
@@ -14,9 +14,9 @@
 
 READ = api.RequestClass("read", aim=1.0)
 KEYED = api.RequestClass(
-    "keyed", 1.0, api.RetrySafety.KEYED, api.RepeatGroup.ALL, repeat_window=1.5, value=5.0
+    "keyed", 1.0, api.RetrySafety.KEYED, api.RepeatGroup.ALL, repeat_window=1.5, priority=5.0
 )
-ONCE = api.RequestClass("once", 1.0, api.RetrySafety.UNSAFE, value=5.0)
+ONCE = api.RequestClass("once", 1.0, api.RetrySafety.UNSAFE, priority=5.0)
 NEVER_RAN = {api.Status.BUSY, api.Status.CONNECT_FAILED, api.Status.UNSENT, api.Status.MISS}
 
 
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -23,7 +23,7 @@
 MISS = b"*3\r\n$-1\r\n$4\r\nmiss\r\n$-1\r\n"
 READ = api.RequestClass("read", aim=1.0)
 BOOK = api.RequestClass(
-    "book", 1.0, api.RetrySafety.KEYED, api.RepeatGroup.ALL, repeat_window=15.0, value=3.0
+    "book", 1.0, api.RetrySafety.KEYED, api.RepeatGroup.ALL, repeat_window=15.0, priority=3.0
 )
 SETTINGS = api.Settings(
     classes={"read": READ, "book": BOOK},
--- a/tests/test_net_host.py
+++ b/tests/test_net_host.py
@@ -124,7 +124,7 @@
             client, cache = await router.start_read()
             client.close()
             assert await cache.wait_closed()
-            assert not router.host.router.pending and not router.host.router.attempts
+            assert not router.host.router.pending_requests and not router.host.router.attempts
 
     run(scenario)
 
@@ -345,7 +345,7 @@
                 patch.setattr(router.host, "submit", None)
                 first.write(read("r2"))
                 assert await first.wait_closed()
-            assert await cache.wait_closed() and not router.host.router.pending
+            assert await cache.wait_closed() and not router.host.router.pending_requests
             other.write(command("PING"))
             assert await other.resp() == b"PONG"
 
@@ -458,7 +458,7 @@
     while router.listener.connections:
         await asyncio.sleep(0.01)
     assert all(tracked.closed for tracked in router.host.requests.values())
-    assert not router.host.router.pending
+    assert not router.host.router.pending_requests
 
 
 def test_disconnect_is_detected_while_reading_is_paused() -> None:
@@ -659,7 +659,7 @@
             assert await cache.wait_closed()
             client.write(read("r2"))  # sent on a connection that is still open
             assert error(await client.resp()).startswith("BUSY")
-            assert not router.host.requests and not router.host.router.pending
+            assert not router.host.requests and not router.host.router.pending_requests
             await router.listener.stop(0.0, 5.0)
             assert await client.wait_closed() and await writer.wait_closed()
 
--- a/tests/test_net_turns.py
+++ b/tests/test_net_turns.py
@@ -130,7 +130,7 @@
             while router.origins.dials:
                 await asyncio.sleep(0)
             await run_loop()
-            assert not router.origins.connections and not router.host.router.pending
+            assert not router.origins.connections and not router.host.router.pending_requests
             assert router.origin.links.empty() or await (await router.origin.link()).wait_closed()
 
     run(scenario)
@@ -183,7 +183,7 @@
             cache.write(HIT)
             assert await other.resp() == b"value"
             assert str(await client.resp()) == "ERR failed"
-            assert not router.host.router.pending
+            assert not router.host.router.pending_requests
 
     run(scenario)
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -318,8 +318,8 @@
 
 
 def classes_in(group: api.RepeatGroup) -> dict[str, api.RequestClass]:
-    keyed = api.RequestClass("keyed", 1.0, api.RetrySafety.KEYED, group, repeat_window=0.5, value=5.0)
-    once = api.RequestClass("once", 1.0, api.RetrySafety.UNSAFE, value=5.0)
+    keyed = api.RequestClass("keyed", 1.0, api.RetrySafety.KEYED, group, repeat_window=0.5, priority=5.0)
+    once = api.RequestClass("once", 1.0, api.RetrySafety.UNSAFE, priority=5.0)
     late = api.RequestClass("late", 0.5)
     return {c.name: c for c in (api.RequestClass("read", 1.0), keyed, once, late)}
 
@@ -339,7 +339,7 @@
         d.step(data, n)
     d.wait(10.0)
     assert not d.open, "rule 1: left without an answer"
-    assert not d.router.pending, "requests left pending"
+    assert not d.router.pending_requests, "requests left pending"
 
 
 CHECKS = hypothesis_settings(
@@ -601,7 +601,7 @@
         d.wait(0.05)
     d.wait(5.0)
     r = d.router
-    assert not r.pending and not r.attempts
+    assert not r.pending_requests and not r.attempts
     assert len(r.servers) <= 5 and len(r.queue) < 100
     assert len(r.ring.owners) == len(r.ring.positions) <= 5 * policy.VNODES
 
@@ -615,7 +615,7 @@
         miss(d, f"r{n}", key=f"k{n}")
         d.router.servers["o"].limit = 1.0
         d.wait(0.05)
-    assert len(d.router.queue) <= 2 * len(d.router.pending) + 1 < 200
+    assert len(d.router.queue) <= 2 * len(d.router.pending_requests) + 1 < 200
 
 
 def test_idle_connections_are_closed_when_they_cost_more_than_new_ones() -> None:
@@ -696,9 +696,9 @@
     d.list(*fleet("a", "b"))
     d.request("r")
     d.end("r", api.Status.CONNECT_FAILED)
-    assert d.router.keep == policy.KEEP_SHARE / 2
+    assert d.router.keep_share == policy.KEEP_SHARE / 2
     d.ok("r")
-    assert policy.KEEP_SHARE / 2 < d.router.keep < policy.KEEP_SHARE
+    assert policy.KEEP_SHARE / 2 < d.router.keep_share < policy.KEEP_SHARE
 
 
 def test_a_server_reported_overloaded_is_passed_by_a_share_of_requests() -> None:
@@ -822,7 +822,7 @@
     """Let a later send to the server of this request be answered."""
     d.now += 0.01
     server = d.router.servers[d.sends[name][-1]]
-    server.last_answered = d.now
+    server.last_answered_send_at = d.now
 
 
 def test_a_lost_answer_does_not_fail_the_request() -> None:
@@ -1073,5 +1073,5 @@
         d.now += 0.01
         request = api.Request(f"x{i}", "unheard-of", 1.0, key="flood")
         assert d.router.handle(d.now, request) == [api.Refuse(request.id)]
-    assert not d.router.pending and d.router.accepted == 0
+    assert not d.router.pending_requests and d.router.accepted == 0
     assert not d.router.demand.history.counts and not d.router.demand.unsent
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -17,7 +17,7 @@
 
 def reference_shares(shares: TrafficShares) -> dict[str, float]:
     """Return each server's fair share by the formulas of shares.py, computed over all servers."""
-    total = sum(s.weight for s in shares.caches)
+    total = sum(s.ring_weight for s in shares.caches)
 
     def health(s: Server) -> float:
         return min(1.0, s.health + 0.1 * (shares.now - s.health_cut_at))
@@ -30,16 +30,16 @@
         age = max(0.0, shares.now - shares.started_at(s))
         return 0.2 + 0.8 * age / 10.0 if cold(s) else 1.0
 
-    mean_health = sum(s.weight * health(s) for s in shares.caches) / total
+    mean_health = sum(s.ring_weight * health(s) for s in shares.caches) / total
     kept = {s: min(1.0, health(s) / mean_health) for s in shares.caches}
-    mean_kept = sum(s.weight * kept[s] for s in shares.caches) / total
-    able = sum(s.weight * warm_up(s) for s in shares.caches) / total
+    mean_kept = sum(s.ring_weight * kept[s] for s in shares.caches) / total
+    able = sum(s.ring_weight * warm_up(s) for s in shares.caches) / total
     factor = min(1.0, 1 / able)
     accepted = {
         s: min(1.0, factor * mean_kept * shares.success_share * warm_up(s)) if cold(s) else 1.0
         for s in shares.caches
     }
-    fair = {s: accepted[s] * kept[s] * s.weight / total for s in shares.caches}
+    fair = {s: accepted[s] * kept[s] * s.ring_weight / total for s in shares.caches}
     rest = 1 - sum(fair[s] for s in fair if cold(s))
     warm = sum(fair[s] for s in fair if not cold(s))
     assert {s.name_hash: shares.is_cold(s) for s in fair} == {s.name_hash: cold(s) for s in fair}
--- a/tests/test_terms_clients.py
+++ b/tests/test_terms_clients.py
@@ -164,7 +164,7 @@
             await clock.advance(0.1)  # a check has just run, so the next one is as far off as possible
             close_now(client)
             await clock.advance(0.05)
-            assert not router.listener.connections and not router.host.router.pending
+            assert not router.listener.connections and not router.host.router.pending_requests
 
     run(scenario)
 
@@ -181,7 +181,7 @@
             send_now(out[b"r1"], b"-BUSY\r\n")
             out[b"r2"].reset()
             await run_loop()
-            assert all_unused(router) and not router.host.router.pending
+            assert all_unused(router) and not router.host.router.pending_requests
 
     run(scenario)
 
@@ -198,7 +198,7 @@
             send_now(out[b"r0"], HIT)
             await run_loop()
             assert set(router.host.requests) <= taken and all_unused(router)
-            assert not router.listener.connections and not router.host.router.pending
+            assert not router.listener.connections and not router.host.router.pending_requests
 
     run(scenario)
 
