--- a/brackenwalk/interface.py
+++ b/brackenwalk/interface.py
@@ -19,7 +19,8 @@
     """Whether a request that may already have run can be sent again."""
 
     SAFE = "safe"
-    KEYED = "keyed"  # within the repeat window, servers of one repeat group drop a repeat of the same key
+    # within the repeat window, the servers of a repeat group drop repeats with the same key
+    KEYED = "keyed"
     UNSAFE = "unsafe"
 
 
@@ -78,41 +79,41 @@
     """A request class: the latency that its clients want, and how its requests may be retried."""
 
     name: str
-    aim: float  # latency in which an answer is wanted
+    aim: float  # seconds within which an answer is wanted
     retry_safety: RetrySafety = RetrySafety.SAFE
     repeat_group: RepeatGroup = RepeatGroup.ALL
     repeat_window: float = 0.0  # seconds in which servers recognise a repeat of a keyed request
     priority: float = 1.0  # requests of higher priority leave the origin queue first
-    client_timeout: float = math.inf  # the longest that a client waits
+    client_timeout: float = math.inf  # seconds after which the client gives up waiting
 
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """A router's settings, fixed at its start; only those that the module or a host uses."""
+    """A router's settings, fixed at its start: those that the decision module or a host uses."""
 
     classes: dict[str, RequestClass]
-    resolution: float = 0.005
+    resolution: float = 0.005  # of the host's timers
     aside: bool = False  # cache-aside: after a miss the router itself fetches from the origin
-    origin_kind: str | None = None
+    origin_kind: str | None = None  # the `kind` of servers that are origins
     live_weights: bool = False  # listed weights fall as their server's load rises
     subscribe: bool = False  # list changes are delivered only after a `Subscribe`
-    second_copies: bool = False
-    may_cancel: bool = False
-    may_gossip: bool = False  # routers may send each other messages
-    max_attempts: int = 1
+    second_copies: bool = False  # a request may have two attempts open at a time
+    may_cancel: bool = False  # attempts may be cancelled
+    may_gossip: bool = False  # routers may send each other peer messages
+    max_attempts: int = 1  # of a request, the first one included
     siblings: int = 1  # number of routers, this one included
     sibling_index: int = 0  # of this router among its siblings, from 0
-    idle_timeout: float = 60.0  # after this the host closes an idle connection by itself
-    dial_timeout: float = 0.25  # a connection that is not established by then has failed
+    idle_timeout: float = 60.0  # after which the host closes an idle connection by itself
+    dial_timeout: float = 0.25  # after which a connection that is not established has failed
     max_retry_after: float = 0.0  # longest retry-after that clients honour
-    connection_cost: float = 0.0  # of 100 open connections at every server
-    handshake_cost: float = 0.0  # of a new connection for every request
+    connection_cost: float = 0.0  # cost of 100 open connections at every server
+    handshake_cost: float = 0.0  # cost of a new connection for every request, in the same unit
     cold_share: float = 0.3  # share of its usual load that a server can take right after its start
     ramp: float = 10.0  # seconds until a started server can take all of its usual load
     overload_factor: float = 2.0  # a cold server fails at this multiple of the load that it can take
     overload_window: float = 1.0  # seconds over which that load is counted
     drain_grace: float = 1.0  # seconds from the drain notice until no new request may go to the server
-    # a router that has not polled discovery for this long is held to know what was listed by then
+    # By the operators' rules a router has to know what discovery listed this long ago, polled or not.
     max_list_age: float = 10.0
 
     @property
@@ -131,7 +132,7 @@
     zone: str = ""
     cell: int = 0
     weight: float = 0.0
-    started_at: float = 0.0  # latest start of its process; 0 if it started long ago
+    started_at: float = 0.0  # time of the latest start of its process; 0 if it started long ago
 
     @property
     def ready(self) -> bool:
@@ -201,7 +202,7 @@
 
 @dataclass(slots=True, frozen=True)
 class PeerMessage:
-    """A gossip message from another router; it may be corrupt."""
+    """A message from another router; it may be corrupt."""
 
     content: bytes
 
@@ -228,14 +229,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Fail:
-    """Final answer: no result, and the request may or may not have been carried out."""
+    """Final answer: no result, and the request may or may not have run."""
 
     request_id: str
 
 
 @dataclass(slots=True, frozen=True)
 class Cancel:
-    """Stop waiting for an attempt; the server may still carry it out."""
+    """Stop waiting for an attempt; the server may still run it."""
 
     request_id: str
     attempt: int
--- a/brackenwalk/policy.py
+++ b/brackenwalk/policy.py
@@ -22,18 +22,25 @@
 VNODES = 128  # of a server of unit weight; its share of the keys is then right within about 10 %
 MAX_WALK_NODES = 64  # bounds the cost of a request when every server is at its limit
 FREE_RETRY_SHARE = 0.3  # of successful attempts: above it, retries after a BUSY are cheap and cost no budget
-MAX_WAIT_SHARE = 0.25  # of the time left that may be spent waiting behind a server's reported load
-MAX_SPILL = 2  # full servers that a walk meets: those further on lack the key, so hits would become misses
+MAX_WAIT_SHARE = 0.25  # of the time left, that a request may wait behind a server's reported load
+# full servers after which a walk ends: those further on have not cached the key, so hits would become misses
+MAX_SPILL = 2
 ORIGIN_TARGET_SHARE = 0.5  # of the aim, like CACHE_TARGET_SHARE; an origin is slow by nature
-FETCH_FACTOR = 2.0  # times the usual latency that a fetch must have left: one cut short is not even stored
-EWMA_WEIGHT = 0.2  # of the latest sample: averages cover the last five answers or so
+# times the origin's usual latency that a fetch must have left: one cut short by its client is not even stored
+FETCH_FACTOR = 2.0
+EWMA_WEIGHT = 0.2  # of the latest sample: averages cover about the last five answers
 LIMIT_FACTOR = 0.75  # of each cut: empties an overloaded server in a few round trips; 0.9 took many seconds
-RETRY_SHARE = 0.2  # retries earned by a request: enough for one lost server, too few to feed an overload
-MAX_RETRY_BUDGET = 10.0  # unspent retries kept, so that all requests of a lost server can retry at once
+# retries that each request adds to the budget: enough for one lost server, too few to feed an overload
+RETRY_SHARE = 0.2
+MAX_RETRY_BUDGET = 10.0  # unspent retries kept, enough to send all requests of a lost server again at once
 LOST_FACTOR = 8.0  # times the usual latency after which an answer counts as lost
-SILENT_AIMS = 1.0  # shortest aims without any answer: longer than usual pauses, soon enough to matter
-MAX_FAILURES = 3  # in a row, too many for chance; from then on one trial every SILENT_AIMS
-KEEP_SHARE = 0.5  # of the idle time after which a connection has cost as much as a new handshake
+# shortest aims without any answer, after which a server counts as silent: longer than usual pauses, and soon
+# enough to send its requests elsewhere in time
+SILENT_AIMS = 1.0
+MAX_FAILURES = 3  # in a row, too many for chance; from then on there is one trial every SILENT_AIMS
+# of the idle time after which keeping a connection open has cost as much as a new handshake: the time that an
+# idle connection is kept
+KEEP_SHARE = 0.5
 KEEP_RECOVERY_SHARE = 0.01  # of the way back to KEEP_SHARE per outcome; each failed dial halves the share
 NO_ANSWER = (api.Status.TIMEOUT, api.Status.CANCELLED, api.Status.UNSENT)
 
@@ -47,25 +54,26 @@
         self.now, self.random = now, random.Random(seed)
         self.actions: list[api.Action] = []
         self.servers: dict[str, Server] = {}
-        self.servers_by_hash: dict[int, Server] = {}  # by the hash that peers name them by
+        self.servers_by_hash: dict[int, Server] = {}  # by the hash that stands for the name in peer messages
         self.ring: Ring[Server] = Ring()
         self.discovery_calls = DiscoveryCalls(settings, self.random, now)
         self.gossip = Gossip(settings, self.random, now)
         self.demand = self.gossip.demand
         self.shares = TrafficShares(settings, self.demand, now)
-        self.largest_weights: dict[str, float] = {}  # the largest weight seen of each kind
+        self.largest_weights: dict[str, float] = {}  # the largest listed weight seen of each kind of server
         self.pending_requests: dict[str, PendingRequest] = {}
         self.attempts: dict[tuple[str, int], Attempt] = {}
-        self.queue: list[tuple[float, int, PendingRequest]] = []  # by value, then age
+        self.queue: list[tuple[float, int, PendingRequest]] = []  # by priority, then age
         self.queue_sequence = self.accepted = 0
         self.retry_budget, self.keep_share = MAX_RETRY_BUDGET, KEEP_SHARE
         self.started_at = now
         self.stop_at = math.inf  # deadline of all requests during shutdown
         self._build_ring()
-        self.mean_wait = 0.0  # smoothed latency per request queued per unit of weight, itself included
+        # smoothed latency at caches per unit of load: 1 for the request itself, plus the load reported there
+        self.mean_wait = 0.0
 
     def handle(self, now: float, event: api.Event) -> list[api.Action]:
-        """Take one event; returns the actions to carry out, in order."""
+        """Take one event and return the actions to carry out, in order."""
         self.now, self.shares.now, self.actions = now, now, []
         if isinstance(event, api.Outcome):
             self._on_outcome(event)
@@ -107,13 +115,13 @@
             self.actions.append(api.SetTimer(self.discovery_calls.delay_after_move(), "list"))
             return
         if event.kind is not api.ListKind.DELTA:
-            for i in self.servers.keys() - {e.server for e in event.entries}:
-                self._remove_server(i)
+            for name in self.servers.keys() - {e.server for e in event.entries}:
+                self._remove_server(name)
         for entry in event.entries:
             known = self.servers.get(entry.server)
             if entry.state is api.ServerState.GONE:
                 self._remove_server(entry.server)
-            elif known is None or entry.started_at > known.entry.started_at:  # new process: start afresh
+            elif known is None or entry.started_at > known.entry.started_at:  # a new process: measure anew
                 self._remove_server(entry.server)
                 origin = self.settings.aside and entry.kind == self.settings.origin_kind
                 name_hash = ring_hash(entry.server)[0] >> 32
@@ -123,11 +131,13 @@
             else:
                 known.entry = entry
         if event.entries or event.kind is not api.ListKind.DELTA:
-            self._build_ring()  # not for a watch that ends without changes, as one does every few seconds
+            # Skipped when a watch ends without changes, which happens every few seconds.
+            self._build_ring()
         if event.kind is not api.ListKind.SAVED:
             self.discovery_calls.list_received(self.now)
         elif self.settings.subscribe:
-            # guards against calls in step: one that queues too long fails, and discovery still works it off
+            # Routers that start together would otherwise call together. Discovery serves one call after
+            # another, so many calls would time out in its queue, and it would still work them off.
             self.actions.append(api.SetTimer(self.discovery_calls.delay_until_turn(self.now), "list"))
         queue, self.queue = sorted(self.queue), []
         for pending in (q[2] for q in queue if q[2].waiting):
@@ -146,40 +156,46 @@
         caches = self.caches = [s for s in self.servers.values() if s.is_cache and s.entry.ready]
         self.origins = [s for s in self.servers.values() if not s.is_cache and s.entry.ready]
         self.shares.update_servers(caches)
-        for s in caches:
-            s.ring_weight = s.entry.weight
+        for cache in caches:
+            cache.ring_weight = cache.entry.weight
             if self.settings.live_weights:
-                # live weights fall with load and arrive late: on the ring they moved keys with every list
-                s.ring_weight = self.largest_weights[s.entry.kind] = max(
-                    self.largest_weights.get(s.entry.kind, 0.0), s.ring_weight
+                # Live weights fall with load and arrive late: on the ring they moved keys with every list.
+                cache.ring_weight = self.largest_weights[cache.entry.kind] = max(
+                    self.largest_weights.get(cache.entry.kind, 0.0), cache.ring_weight
                 )
-                s.reported_load = s.ring_weight / s.entry.weight - 1 if s.entry.weight else 0.0
-        largest = max((s.ring_weight for s in caches), default=0.0) or 1.0  # also for a missing weight
+                cache.reported_load = (
+                    cache.ring_weight / cache.entry.weight - 1 if cache.entry.weight else 0.0
+                )
+        largest = max((s.ring_weight for s in caches), default=0.0) or 1.0  # also for servers without one
         unit = 2.0 ** math.ceil(math.log2(largest))  # a power of two, which rarely changes with the fleet
-        for s in self.servers.values():
-            s.ring_weight = s.ring_weight or largest
+        for owner in self.servers.values():
+            owner.ring_weight = owner.ring_weight or largest
             self.ring.set_virtual_nodes(
-                s,
-                s.entry.server,
-                math.ceil(VNODES * s.ring_weight / unit) if s.is_cache and s.entry.ready else 0,
+                owner,
+                owner.entry.server,
+                math.ceil(VNODES * owner.ring_weight / unit) if owner.is_cache and owner.entry.ready else 0,
             )
         self.ring.apply_changes()
         self.shares.total_weight = sum(s.ring_weight for s in caches)
         self.mean_reported = sum(s.reported_load for s in caches) / max(1, len(caches))
 
     def _origin(self) -> Server | None:
-        """The origin with the fewest requests in flight, of those that are ready."""
+        """Return the ready origin with the fewest requests in flight."""
         return min(self.origins, key=lambda s: s.in_flight, default=None)
 
     def _choose(self, pending: PendingRequest) -> Server | None:
-        """Walk with bounded loads: load beyond (1 + epsilon) fair shares of a server spills clockwise."""
+        """Return the server for the next attempt, by a walk with bounded loads, or None if there is none.
+
+        Load beyond (1 + epsilon) fair shares of a server spills clockwise. A hot key is split at random, in
+        proportion to its planned portions.
+        """
         portions = self.shares.hot_shares.get(pending.ring_position >> 32, {})
         planned = sum(portions.values())
         draw = self.random.random() * planned
-        load_cap = (1 + EPSILON) * max(
-            1.0, self.mean_reported
-        )  # at random, as all routers read one late report
-        full = 0
+        # Compared with a random part of the reported load below: all routers read the same late report, and
+        # would otherwise all avoid the server until the next one.
+        load_cap = (1 + EPSILON) * max(1.0, self.mean_reported)
+        full_count = 0
         fallback = None
         for server in self._clockwise(pending.ring_position):
             if self._eligible(pending, server):
@@ -192,16 +208,20 @@
                     return server
                 fallback = fallback or (None if self.shares.is_cold(server) else server)
             elif server.in_flight >= server.limit and server not in portions and not self._is_silent(server):
-                full += 1
-                if full >= MAX_SPILL:
+                full_count += 1
+                if full_count >= MAX_SPILL:
                     break
-        return fallback  # all exceed the cap: the first is as good as any and likelier to have the key
+        return fallback  # all exceed the cap: the first one is as good, and likeliest to have cached the key
+
+    def _cold_accepts(self, pending: PendingRequest, server: Server, planned_share: float) -> bool:
+        """Whether a cold server takes the request: within its share of the key only, and never a retry.
 
-    def _cold_accepts(self, pending: PendingRequest, server: Server, planned: float) -> bool:
-        """Whether a cold server takes the request: of its own share only, and never a retry."""
+        `planned_share` is the server's part of the plan for a hot key, and 1 for other keys.
+        """
         key = pending.ring_position >> 32
-        part = self.shares.key_share(key, server) / planned  # of its planned portion
-        # guards the origin: split at random, each small key would be fetched for two servers
+        part = self.shares.key_share(key, server) / planned_share
+        # A small key goes to the cold server as a whole or not at all, at every router: split at random, it
+        # would be fetched from the origin for two servers.
         small = self.demand.share(key) < HOT_KEY_SHARE * server.ring_weight / self.shares.total_weight
         draw = (pending.ring_position & 0xFFFFFFFF) / 2**32 if small else self.random.random()
         pending.skipped_cold = bool(pending.attempts) or draw >= part
@@ -211,14 +231,18 @@
         """Yield each server once, in the order of the walk."""
         seen: set[Server] = set()
         for server, rank in self.ring.clockwise(position, MAX_WALK_NODES):
-            # all routers skip the same nodes of an unhealthy server; nothing spills to a cold one
+            # All routers skip the same nodes of an unhealthy server. Nothing spills to a cold server.
             if server in seen or rank > self.shares.kept(server) or (seen and self.shares.is_cold(server)):
                 continue
             seen.add(server)
             yield server
 
     def _refuses_early(self, pending: PendingRequest, server: Server) -> bool:
-        """Refuse at random what, by reported load or own waits, comes too late; full queues make all late."""
+        """Whether to refuse a request at once: at random, the likelier the longer it would have to wait.
+
+        The wait is estimated from this router's own latencies and, with live weights, the server's reported
+        load. If all requests were accepted in an overload, full queues would make all answers late.
+        """
         load = server.reported_load / MAX_WAIT_SHARE if self.settings.live_weights else 1.0
         return self.random.random() * self.mean_wait * load > pending.deadline - self.now
 
@@ -233,7 +257,10 @@
         return not (full or tried or down or self._zone_down(server)) and self._permits(pending, server)
 
     def _zone_down(self, server: Server) -> bool:
-        """Whether no server of its zone answers; the zone then gets one trial every SILENT_AIMS."""
+        """Whether no server of the server's zone answers and the zone's next trial is not due yet.
+
+        A zone that does not answer gets one trial every SILENT_AIMS.
+        """
         zone = self.shares.zones.get(server.entry.zone) if len(self.shares.zones) > 1 else None
         if zone is None or zone.unanswered < MAX_FAILURES:
             return False
@@ -256,7 +283,7 @@
 
     def _on_request(self, request: api.Request) -> None:
         request_class = self.settings.classes.get(request.request_class)
-        if request_class is None:  # counted as demand, what is never sent would displace what is
+        if request_class is None:  # before it counts as demand, where it would displace keys that are sent
             self.actions.append(api.Refuse(request.id))
             return
         deadline = min(
@@ -278,7 +305,7 @@
         self._advance(pending)
 
     def _permits(self, pending: PendingRequest, server: Server | None) -> bool:
-        """Whether the class permits another send to this server or, with None, a refusal."""
+        """Whether the request class permits another send to this server or, with None, a refusal."""
         request_class = pending.request_class
         ran = [a for a in pending.attempts if a.may_have_run]
         waits = pending.open_attempts() and not self.settings.second_copies
@@ -291,7 +318,7 @@
                 request_class.retry_safety is api.RetrySafety.KEYED
                 and request_class.repeat_group is api.RepeatGroup.ALL
             )
-        # guards against a second effect: a dial may delay the send past the window
+        # Dialling may delay the send past the repeat window, where the repeat would have a second effect.
         in_window = (
             self.now + self.settings.dial_timeout < min(a.sent_at for a in ran) + request_class.repeat_window
         )
@@ -328,18 +355,23 @@
         self._schedule_copy(pending, attempt)
 
     def _schedule_copy(self, pending: PendingRequest, last: Attempt) -> None:
-        """Set a timer for a second copy, due when the attempt has taken far longer than usual."""
+        """Set a timer for a second copy, due when the latest attempt has taken far longer than usual."""
         last.copy_at = self.now + max(last.target_latency, LOST_FACTOR * last.server.latency)
         if self.settings.second_copies and last.copy_at < pending.deadline:
             self.actions.append(api.SetTimer(last.copy_at - self.now, "late:" + pending.request.id))
 
     def _send_copy(self, pending: PendingRequest, last: Attempt) -> None:
-        """Send a second copy of a lost request: far past its usual latency, with later sends answered."""
+        """Send a second copy if the answer is long overdue and its server has answered a later send.
+
+        The request or its answer then counts as lost.
+        """
         late = last.open and self.now >= last.copy_at - self.settings.resolution / 2
         if late:
             self._count_unanswered(last)
         slow = last.server.last_answered_send_at <= last.sent_at and not self._zone_down(last.server)
-        if late and slow:  # guards against feeding a slow server: its answers are late, not lost
+        if late and slow:
+            # No later send was answered: the answers are late, not lost, and copies would add to the load
+            # that makes the server slow.
             self._schedule_copy(pending, last)
         elif late and self.retry_budget >= 1:
             server = self._choose(pending) if last.server.is_cache else self._origin()
@@ -357,14 +389,17 @@
             self._close_idle(idle)
         pending = self.pending_requests.get(name)
         if pending is not None and pending.waiting:
-            # tolerates half the resolution: rounding may fire a timer slightly early
+            # Half the resolution is tolerated, as rounding may fire a timer slightly early.
             late = self.now >= self._latest_start(pending, self._origin()) - self.settings.resolution / 2
             (self._finish if late else self._set_wait_timer)(pending)
         elif pending is not None and timer == "late" and not pending.response_started:
             self._send_copy(pending, pending.attempts[-1])
 
     def _close_idle(self, server: Server) -> None:
-        """Close connections that have cost more than a new one; guards against full connection tables."""
+        """Close a server's idle connections once keeping them has cost more than a new one would.
+
+        Otherwise hundreds of routers, each with an open connection, fill the servers' connection tables.
+        """
         cost = self.settings.connection_cost
         if server.in_flight or not cost:
             return
@@ -374,7 +409,8 @@
         if left < self.settings.resolution:
             self.actions.append(api.CloseIdle(server.entry.server))
         elif left < min(self.settings.idle_timeout, (server.check_at - self.now) / 2):
-            # guards memory: a pending timer will check again, unless it is due far too late
+            # No timer is set while an earlier one is due soon enough to check again: one for each answer
+            # would pile up in memory.
             server.check_at = self.now + left
             self.actions.append(api.SetTimer(left, "idle:" + server.entry.server))
 
@@ -384,9 +420,10 @@
         if pending.response_started or pending.open_attempts():
             return
         name, origin = pending.request.id, self._origin() if pending.to_origin else None
-        # the obstacle should be gone by then; the jitter guards against all refused clients returning at once
+        # The obstacle should be gone by the time that the client returns. Without the random factor all
+        # refused clients would return at once.
         usual = 2 * (origin.latency if origin else self.mean_wait)
-        if pending.skipped_cold and not pending.attempts:  # cold servers' load counts by the window
+        if pending.skipped_cold and not pending.attempts:  # cold servers' load is counted over this window
             usual = max(usual, self.settings.overload_window)
         retry_after = min(self.settings.max_retry_after, usual) * self.random.uniform(0.5, 1.0)
         self.actions.append(api.Refuse(name, retry_after) if self._permits(pending, None) else api.Fail(name))
@@ -410,7 +447,8 @@
         relevant = event.status not in NO_ANSWER
         if relevant:
             attempt.server.unanswered_since = math.inf
-        # a send before one that was answered got lost on its way, and says nothing about the server
+        # A time-out is ignored if a later send was answered: it was lost on its way, and says nothing about
+        # the server.
         relevant |= (
             event.status is api.Status.TIMEOUT and attempt.server.last_answered_send_at <= attempt.sent_at
         )
@@ -443,21 +481,25 @@
             self._serve_queue()
 
     def _after_failure(self, pending: PendingRequest, event: api.Outcome) -> None:
-        """Go to the origin after a miss; after anything else retry, while the budget lasts."""
+        """Go to the origin after a miss; after any other failure retry while the retry budget lasts."""
         if event.status is api.Status.MISS and self.settings.aside:
             pending.to_origin = True
         elif event.status is api.Status.ERROR and not self.settings.aside:
-            pending.deadline = self.now  # guards a failing origin: each server tried would fetch again
+            # Each further server would fetch from the failing origin again.
+            pending.deadline = self.now
         elif not pending.to_origin and (
             event.status is not api.Status.BUSY or self.shares.success_share < FREE_RETRY_SHARE
         ):
-            # guards against feeding an overload: with busy servers each request became a dozen attempts
+            # Without a budget, each request became a dozen attempts at busy servers, which fed the overload.
             pending.deadline = pending.deadline if self.retry_budget >= 1 else self.now
             self.retry_budget = max(0.0, self.retry_budget - 1)
         self._advance(pending)
 
     def _enqueue(self, pending: PendingRequest) -> None:
-        """Queue for the origin, or any server: by value, or writes would wait behind misses; then by age."""
+        """Queue a request for the origin, or until any server is listed, by priority and then age.
+
+        Without priorities, writes would wait behind the misses of reads.
+        """
         pending.waiting = True
         self._set_wait_timer(pending)
         self.queue_sequence += 1
@@ -465,12 +507,15 @@
         self._serve_queue()
 
     def _set_wait_timer(self, pending: PendingRequest) -> None:
-        """Set a timer, so that a queued request is answered in time whatever happens."""
+        """Set a timer by which a queued request gets its final answer in any case."""
         pause = max(0.0, self._latest_start(pending, self._origin()) - self.now)
         self.actions.append(api.SetTimer(pause, "wait:" + pending.request.id))
 
     def _latest_start(self, pending: PendingRequest, origin: Server | None) -> float:
-        """The latest start of a fetch that is back in time; writes need less time, as they store nothing."""
+        """Return the latest time at which to send to the origin for an answer before the deadline.
+
+        A fetch needs FETCH_FACTOR times the usual latency; a write needs it once, as it stores nothing.
+        """
         latency_factor = 1.0 if pending.request.write else FETCH_FACTOR
         return pending.deadline - latency_factor * origin.latency if origin is not None else pending.deadline
 
@@ -480,18 +525,21 @@
             if not pending.waiting:
                 continue
             pending.waiting = False
-            # no fetch that would come back too late, except one at a time to measure the origin's latency
+            # A fetch that would come back too late is not sent, except for one at a time that measures the
+            # origin's latency.
             fits = self.now < (self._latest_start(pending, origin) if origin.in_flight else pending.deadline)
             if fits and self._permits(pending, origin):
                 self._send(pending, origin)
             else:
                 self._finish(pending)
-        # guards clients against waiting in vain: refused now, they still have time for a retry
+        # Requests that can no longer be fetched in time are refused now, while their clients still have time
+        # for a retry.
         origin = self._origin()  # looked up once, not for each queued request
         for _, _, pending in self.queue:
             if pending.waiting and self.now >= self._latest_start(pending, origin):
                 self._finish(pending)
-        self.queue = [q for q in self.queue if q[2].waiting]  # or ended ones pile up behind higher values
+        # Ended requests would otherwise pile up behind those of higher priority.
+        self.queue = [q for q in self.queue if q[2].waiting]
         heapq.heapify(self.queue)
 
     def _update_limit(self, attempt: Attempt, event: api.Outcome) -> None:
@@ -512,7 +560,7 @@
             if self.now - server.limit_cut_at > attempt.target_latency:
                 server.limit = max(1.0, server.limit * LIMIT_FACTOR)
                 server.limit_cut_at = self.now
-            if event.status is api.Status.BUSY:  # what is in flight now is what it can take
+            if event.status is api.Status.BUSY:  # it can take no more than it has in flight now
                 server.limit = max(1.0, min(server.limit, server.in_flight))
         elif ok and server.in_flight + 1 >= server.limit / 2:
             server.limit += 1 / server.limit
--- a/brackenwalk/state.py
+++ b/brackenwalk/state.py
@@ -1,4 +1,4 @@
-"""What a router records about servers, zones, attempts and pending requests."""
+"""Records of a router about servers, zones, attempts and pending requests."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 from brackenwalk import interface as api
 
-INITIAL_LIMIT = 4.0  # attempts in flight at a server before its limit has adapted, which takes seconds
+INITIAL_LIMIT = 4.0  # requests in flight at a server until its limit has adapted, which takes seconds
 
 
 @dataclass(slots=True, eq=False)
@@ -16,26 +16,27 @@
 
     entry: api.ServerEntry
     is_cache: bool = True  # False for an origin
-    name_hash: int = 0  # 32 bits of the hash of its name, by which gossip messages name it
-    in_flight: int = 0  # this router's open attempts
-    ring_weight: float = 1.0  # unlike the listed weight it does not fall with load
-    reported_load: float = 0.0  # requests of all routers per unit of weight, as listed some seconds ago
+    name_hash: int = 0  # 32 bits of the hash of its name, which stand for the name in peer messages
+    in_flight: int = 0  # open attempts of this router
+    ring_weight: float = 1.0  # its weight on the ring, which does not fall with load as the listed one may
+    # requests at it per unit of weight, of all routers together, as its listed weight showed some seconds ago
+    reported_load: float = 0.0
     limit: float = INITIAL_LIMIT  # concurrency limit on `in_flight`
     limit_cut_at: float = -math.inf  # time of the latest cut of the limit
-    latency: float = 0.0  # smoothed, in seconds
-    latency_ratio: float = 0.0  # smoothed latency over target latency; a single answer says little
+    latency: float = 0.0  # smoothed latency of its answers, in seconds
+    latency_ratio: float = 0.0  # smoothed latency over target latency, as a single answer says little
     unanswered_since: float = math.inf  # first send after its latest answer
-    last_answered_send_at: float = -math.inf  # time of the latest send that got an answer
+    last_answered_send_at: float = -math.inf  # the latest send that has been answered
     used_at: float = 0.0  # latest end of an attempt
     check_at: float = math.inf  # when the pending timer will check its idle connections
-    failures: int = 0
-    health: float = 1.0  # share of its virtual nodes left to it when a router last found it unhealthy
+    failures: int = 0  # in a row
+    health: float = 1.0  # share of its virtual nodes that it kept when a router last found it unhealthy
     health_cut_at: float = -math.inf  # time of that cut
 
 
 @dataclass(slots=True, eq=False)
 class Zone:
-    """What is known of all cache servers of a zone together."""
+    """What a router knows of all cache servers of a zone together."""
 
     last_answer_at: float = -math.inf  # latest answer from any of them
     unanswered: int = 0  # attempts without an answer since then
@@ -53,8 +54,8 @@
     sent_at: float
     open: bool = True  # no outcome yet
     may_have_run: bool = True  # until an outcome proves that it did not
-    copy_at: float = math.inf  # from then on a second copy may be sent
-    counted: bool = False  # already counted in its zone's `unanswered`
+    copy_at: float = math.inf  # time from which on a second copy may be sent
+    counted: bool = False  # whether it has been counted in its zone's `unanswered`
 
 
 @dataclass(slots=True, eq=False)
@@ -72,5 +73,5 @@
     skipped_cold: bool = False  # its walk last passed a cold server that does not accept it
 
     def open_attempts(self) -> int:
-        """The number of attempts without an outcome."""
+        """Return the number of attempts without an outcome."""
         return sum(a.open for a in self.attempts)
