--- a/brackenwalk/__main__.py
+++ b/brackenwalk/__main__.py
@@ -163,7 +163,7 @@
     if peers is not None:
         demand = host.router.demand
         logging.info(
-            "datagrams ignored: %d from unknown senders or too long, %d garbled, %d late",
+            "peer messages ignored: %d from unknown senders or too long, %d invalid, %d stale",
             peers.rejected,
             demand.invalid,
             demand.stale,
--- a/brackenwalk/demand.py
+++ b/brackenwalk/demand.py
@@ -1,6 +1,7 @@
-"""Estimates each key's share of all reads, from own requests and from the counts that peers send.
+"""Estimates each key's share of all reads, from own requests and from the counts in peer messages.
 
-One of many routers sees a hot key only a few times within seconds; all of them together see it at once.
+One of many routers gets only a few requests for a hot key within seconds; all of them together notice it at
+once.
 """
 
 from __future__ import annotations
@@ -12,26 +13,27 @@
 from collections.abc import Callable, Iterator
 from typing import TypeVar
 
-HOT_KEY_SHARE = 0.25  # of a server's mean capacity: keys with a lower load are not split
+# of the mean capacity of servers (in policy.py, of a cold server's fair share): keys below it are not split
+HOT_KEY_SHARE = 0.25
 RECENT_SHARE = 0.125  # of the history: the short window that shows keys that have just turned hot
-HISTORY_REQUESTS = 128.0  # window per server, in which a key at the threshold of hot is seen thirty times
+HISTORY_REQUESTS = 128.0  # window per server, in which a key at the threshold of hot has about thirty
 DIGEST_BYTES = 4  # a damaged message does not match its digest
 FORMAT_ID = b"told 2"  # part of the digest, so that routers of a version with another format skip the message
-HEADER = struct.Struct(">HHB")  # time sent, requests in all, number of key entries
-TIMESTAMP_UNIT_S = 0.01  # the 16-bit time sent wraps round after eleven minutes
+HEADER = struct.Struct(">HHB")  # time sent, number of all requests, number of key entries
+TIMESTAMP_UNIT_S = 0.01  # the 16 bits of the time sent wrap round after eleven minutes
 TIMESTAMP_RANGE = 1 << 16
-SERVER_ID = struct.Struct(">I")  # of an unhealthy server; these follow the key entries
-MAX_SERVERS = 24
+SERVER_ID = struct.Struct(">I")  # hash of an unhealthy server's name; the ids follow the key entries
+MAX_SERVERS = 24  # in a message
 KEY_ENTRY = struct.Struct(">IB")  # a key's hash and its number of requests
-MAX_COUNT = 255
-MAX_DEFERRED_KEYS = 1024  # sorted by count; keys beyond that are dropped
-MAX_KEYS = 30  # with MAX_SERVERS this fills the 256 bytes that a datagram may have
+MAX_COUNT = 255  # of requests in a key entry
+MAX_DEFERRED_KEYS = 1024  # the most requested ones; the others are dropped
+MAX_KEYS = 30  # in a message; with MAX_SERVERS they fill the 256 bytes that it may have
 
 S = TypeVar("S")
 
 
 def with_digest(body: bytes) -> bytes:
-    """Return a message's body with its digest in front."""
+    """Return the message that consists of a body and, in front of it, its digest."""
     return hashlib.blake2b(body, digest_size=DIGEST_BYTES, person=FORMAT_ID).digest() + body
 
 
@@ -41,7 +43,7 @@
 
 
 def encode_message(total: int, keys: list[tuple[int, int]], unhealthy: list[int], now: float) -> bytes:
-    """Encode the total of requests, keys with their counts, and unhealthy servers; empty if neither."""
+    """Return a message with the total of requests, counts by key, and unhealthy servers; empty if neither."""
     entries = [KEY_ENTRY.pack(key, min(MAX_COUNT, count)) for key, count in keys]
     servers = [SERVER_ID.pack(server) for server in unhealthy[:MAX_SERVERS]]
     header = HEADER.pack(timestamp_of(now), total, len(entries))
@@ -49,7 +51,7 @@
 
 
 class DecayingCounts:
-    """Request counts by key over a window of a number of requests; older ones are halved again and again."""
+    """Request counts by key, all halved whenever their total exceeds the window, a number of requests."""
 
     def __init__(self, window: float) -> None:
         self.window = window  # requests per server
@@ -63,7 +65,7 @@
             self.total /= 2
 
     def share(self, key: int) -> float:
-        """Return a key's share of the requests counted: 1 while nothing else is known."""
+        """Return a key's share of the requests counted; 1 while there are none."""
         return max(1, self.counts[key]) / max(1.0, self.total)
 
 
@@ -72,9 +74,9 @@
 
     def __init__(self, sent_share: float = 1.0, max_age: float = math.inf) -> None:
         self.max_age = max_age  # seconds after which a message delayed in the network is ignored
-        self.invalid = self.stale = 0  # messages ignored
+        self.invalid = self.stale = 0  # numbers of messages ignored for either reason
         self.history, self.recent = (
-            DecayingCounts(HISTORY_REQUESTS * sent_share),  # to span the same time whatever share peers send
+            DecayingCounts(HISTORY_REQUESTS * sent_share),  # spans the same time whatever share peers send
             DecayingCounts(HISTORY_REQUESTS * RECENT_SHARE * sent_share),
         )
         self.unsent: Counter[int] = Counter()  # own requests since the last message
@@ -92,14 +94,14 @@
         return max(self.history.share(key), self.recent.share(key))
 
     def message_size(self, servers: int) -> int:
-        """Return the bytes that a message of everything unsent would have, with a number of servers."""
+        """Return the size in bytes of a message with all unsent counts and a number of unhealthy servers."""
         keys = min(MAX_KEYS, len(self.unsent) + len(self.deferred))
         return DIGEST_BYTES + HEADER.size + keys * KEY_ENTRY.size + min(MAX_SERVERS, servers) * SERVER_ID.size
 
     def next_message(self, unhealthy: list[int], with_keys: bool = True, now: float = 0.0) -> bytes:
-        """Encode what peers have not been sent yet, the most requested keys first; empty if nothing."""
+        """Return a message with the counts not sent yet, the most requested keys first; empty if none."""
         counts, self.unsent = self.unsent, Counter()
-        if not with_keys:  # the counts are dropped, not deferred
+        if not with_keys:  # the counts are dropped, not deferred to the next message
             return encode_message(0, [], unhealthy, now)
         total = min(0xFFFF, counts.total())
         counts.update(self.deferred)
@@ -110,7 +112,7 @@
     def receive(self, message: bytes, now: float = 0.0) -> set[int]:
         """Add a peer's counts, and return the ids of the servers that it reports as unhealthy.
 
-        Invalid messages and those that are too old are ignored, but counted.
+        Ignore, but count, an invalid message and one that was delayed for longer than `max_age`.
         """
         body = message[DIGEST_BYTES:]
         if len(body) < HEADER.size or with_digest(body) != message:
@@ -121,7 +123,7 @@
         if len(body) < end or (len(body) - end) % SERVER_ID.size:
             self.invalid += 1
             return set()
-        # the machines' clocks are synchronized; a time slightly ahead of ours is as good as the present
+        # The machines' clocks are synchronized; a time slightly ahead of this clock counts as the present.
         age = (timestamp_of(now) - sent_at + TIMESTAMP_RANGE // 2) % TIMESTAMP_RANGE - TIMESTAMP_RANGE // 2
         if abs(age) * TIMESTAMP_UNIT_S > self.max_age:
             self.stale += 1
@@ -141,20 +143,23 @@
         max_part: Callable[[int, S], float],
         sole_server: Callable[[int], S | None] = lambda position: None,
     ) -> dict[int, dict[S, float]]:
-        """Split hot keys among servers, the hottest first: each fills the free capacity of servers clockwise.
+        """Return for each hot key the share of all requests that each server takes of it.
 
-        A server's capacity is its fair share of all requests times the bound; of one key it takes `max_part`
-        at most. Returns for each hot key the share of all requests that each server takes. `sole_server`
-        returns the server that takes a key at a position as a whole, if that is known without a walk.
+        The hottest key comes first, and each fills the free capacity of servers clockwise. A server's
+        capacity is its fair share of all requests times `load_bound`; of one key it takes the share
+        `max_part` at most. `sole_server` returns the server that takes all requests for a key, given its
+        position, where that is known without a walk.
         """
         self.history.decay(len(fair_shares))
         self.recent.decay(len(fair_shares))
         total = max(self.history.total, len(fair_shares))
-        shares = {k: (n - 1) / total for k, n in self.history.counts.items() if n > 1}  # two may be chance
+        shares = {
+            k: (n - 1) / total for k, n in self.history.counts.items() if n > 1
+        }  # less one: two requests may be chance
         rest = 1 - sum(shares.values())
         free = {s: f * (load_bound - rest) for s, f in fair_shares.items()}
         threshold = HOT_KEY_SHARE * load_bound * sum(fair_shares.values()) / len(fair_shares)
-        unsplit: dict[int, dict[S, float]] = {}  # what each server has of the hot keys before they are split
+        unsplit: dict[int, dict[S, float]] = {}  # each server's share of the hot keys before they are split
         for key, share in shares.items():
             if share <= threshold and (only := sole_server(key << 32)) is not None:
                 free[only] -= share
@@ -180,7 +185,7 @@
                 left -= taken[server]
                 if left <= 0:
                     break
-            # what finds no free capacity goes to the warm servers by fair share: cold ones take no more
+            # What finds no free capacity goes to the warm servers by fair share: cold ones take no more.
             warm = {s: fair_shares[s] for s in taken if max_part(key, s) >= 1}
             for server, f in warm.items():
                 taken[server] += max(0.0, left) * f / sum(warm.values())
--- a/brackenwalk/gossip.py
+++ b/brackenwalk/gossip.py
@@ -1,6 +1,7 @@
-"""Decides what a router sends to its peers and when: request counts by key, and unhealthy servers.
+"""Decides when a router sends a message to its peers, and which counts and unhealthy servers are in it.
 
-Every message reaches all peers, so the bytes that all routers send together are bounded for any fleet size.
+Every message reaches all peers. So that the bytes that a router receives are bounded in a fleet of any size,
+the routers of a large fleet send only a share of their counts.
 """
 
 from __future__ import annotations
@@ -11,36 +12,36 @@
 from brackenwalk.demand import MAX_SERVERS, Demand
 from brackenwalk.state import Server
 
-INTERVAL_FACTOR = 0.25  # of the shortest aim, between two messages: a hot key is known well within that aim
-MAX_SENDERS = 40  # routers whose counts are sent in full; in a larger fleet each sends a share of its own
-# of key counts that each router may receive: the 12 KB/s for all control traffic (docs/CAPACITY.md) less what
-# lists and unhealthy servers need
+INTERVAL_FACTOR = 0.25  # of the shortest aim, between two messages: peers know a hot key well within that aim
+MAX_SENDERS = 40  # routers that send all of their counts; in a larger fleet each sends a share of them
+# of key counts that each router receives: the 12 KB/s that it has for all control traffic (docs/CAPACITY.md),
+# less the server lists and reports of unhealthy servers
 MAX_BYTES_PER_S = 10_000
-UDP_OVERHEAD_BYTES = 28  # IP and UDP headers of a datagram
-MAX_AGE_FACTOR = 2.0  # of the shortest aim, after which a message describes what is over
+UDP_OVERHEAD_BYTES = 28  # IP and UDP headers of a message
+MAX_AGE_FACTOR = 2.0  # of the shortest aim, after which a message is out of date
 
 
 class Gossip:
-    """The messages of one router to its peers, and their schedule; times are seconds."""
+    """The messages of one router to its peers, and their schedule; times are in seconds."""
 
     def __init__(self, settings: api.Settings, rng: random.Random, now: float) -> None:
         self.settings, self.random = settings, rng
-        self.sent_share = min(1.0, MAX_SENDERS / settings.siblings)  # of own requests that peers are sent
+        self.sent_share = min(1.0, MAX_SENDERS / settings.siblings)  # of own requests whose counts are sent
         self.interval = INTERVAL_FACTOR * settings.shortest_aim
         self.demand = Demand(self.sent_share, MAX_AGE_FACTOR * settings.shortest_aim)
         self.unhealthy: dict[Server, None] = {}  # not reported to peers yet, in the order found
         self.next_at = now
 
     def add_unhealthy(self, server: Server) -> None:
-        """Report a server in the next message, as no peer has just done so."""
+        """Have an unhealthy server reported in the next message."""
         self.unhealthy[server] = None
 
     def receive(self, content: bytes, now: float) -> set[int]:
-        """Take in a peer's message and return the ids of the servers that it reports as unhealthy."""
+        """Take a peer's message and return the ids of the servers that it reports as unhealthy."""
         return self.demand.receive(content, now)
 
     def remove_unhealthy(self, server: Server) -> None:
-        """Do not report a server that has left the list or that a peer has reported."""
+        """Have a server reported no more, because it has left the list or a peer has just reported it."""
         self.unhealthy.pop(server, None)
 
     def due(self, now: float) -> bool:
@@ -51,13 +52,14 @@
         return True
 
     def next_message(self, now: float) -> bytes:
-        """Return the next message, 0 to 256 bytes: unhealthy servers, and key counts as the bound permits."""
+        """Return the next message of 0 to 256 bytes: unhealthy servers, and counts as the bound permits."""
         size = UDP_OVERHEAD_BYTES + self.demand.message_size(len(self.unhealthy))
-        part = min(self.sent_share, MAX_BYTES_PER_S * self.interval / (self.settings.siblings * size))
-        with_keys = self.settings.may_gossip and self.random.random() < part
-        sent = list(self.unhealthy)[
-            : MAX_SERVERS if self.settings.may_gossip else 0
-        ]  # others wait for the next
-        for server in sent:
+        send_probability = min(
+            self.sent_share, MAX_BYTES_PER_S * self.interval / (self.settings.siblings * size)
+        )
+        with_keys = self.settings.may_gossip and self.random.random() < send_probability
+        # servers beyond MAX_SERVERS are reported in the next message
+        reported = list(self.unhealthy)[: MAX_SERVERS if self.settings.may_gossip else 0]
+        for server in reported:
             del self.unhealthy[server]
-        return self.demand.next_message([s.name_hash for s in sent], with_keys, now)
+        return self.demand.next_message([s.name_hash for s in reported], with_keys, now)
--- a/brackenwalk/ring.py
+++ b/brackenwalk/ring.py
@@ -20,7 +20,7 @@
 
 
 def virtual_nodes(server: str, count: int) -> tuple[int, ...]:
-    """Return the positions of a server's first `count` virtual nodes; a higher count keeps the lower ones."""
+    """Return the positions of a server's first `count` virtual nodes; a higher count only adds positions."""
     return tuple(p for j in range(math.ceil(count / 8)) for p in ring_hash(f"{server}-vnode-{j}"))[:count]
 
 
@@ -50,7 +50,7 @@
 
     def __init__(self) -> None:
         self.nodes_by_owner: dict[S, array[int]] = {}  # positions, including changes not applied yet
-        self.previous_nodes: dict[S, array[int]] = {}  # what the owners changed since then had applied
+        self.previous_nodes: dict[S, array[int]] = {}  # of changed owners: the positions still in the ring
         self.positions: array[int] = array("Q")  # ascending; owners and ranks are parallel to it
         self.owners: list[S] = []
         self.ranks: array[float] = array("f")  # from 0 to 1: (index among the owner's nodes + 0.5) / count
@@ -85,7 +85,7 @@
         self.previous_nodes.clear()
 
     def _index(self, position: int, owner: S) -> int:
-        """Return the index of an owner's node; nodes of two owners may share a position."""
+        """Return the index of an owner's node; nodes of several owners may share a position."""
         index = bisect_left(self.positions, position)
         while self.owners[index] != owner:
             index += 1
--- a/brackenwalk/settings.py
+++ b/brackenwalk/settings.py
@@ -19,7 +19,7 @@
 ) -> float:
     """Return a number, or the default if the field is absent.
 
-    Raises SettingsError, which names the field by `prefix` and its key, if it is no number or too small.
+    Raises SettingsError, which names the field with `prefix` before it, if it is no number or too small.
     """
     value = table.get(field)
     if value is None:
@@ -32,7 +32,7 @@
 
 
 def read_choice(table: dict[str, Any], field: str, default: str, choices: dict[str, Any], prefix: str) -> Any:
-    """Return what a word stands for in `choices`, or the default word if the field is absent.
+    """Return the value of a word in `choices`, or that of the default word if the field is absent.
 
     Raises SettingsError for any other value.
     """
@@ -68,7 +68,7 @@
 
 
 def read_class(row: dict[str, Any]) -> api.RequestClass:
-    """Read a request class; without a stated effect it is taken not to be safe to retry."""
+    """Read a request class; without an effect its requests are not safe to retry."""
     prefix = f"classes[{row['name']}]."
     groups = {g.value: g for g in api.RepeatGroup}
     return api.RequestClass(
--- a/brackenwalk/wirehost.py
+++ b/brackenwalk/wirehost.py
@@ -36,7 +36,7 @@
 
 
 class WireError(ValueError):
-    """An input line that is not a batch of known events."""
+    """An input line that is not a batch of known, well-formed events."""
 
 
 def read_entry(row: dict[str, Any]) -> api.ServerEntry:
@@ -52,27 +52,31 @@
     )
 
 
-def read_list(e: dict[str, Any]) -> api.Event:
+def read_list(event: dict[str, Any]) -> api.Event:
     """Read a `Membership` event."""
-    return api.ServerList(LIST_KINDS[e["scope"]], tuple(map(read_entry, e.get("lines") or ())))
+    return api.ServerList(LIST_KINDS[event["scope"]], tuple(map(read_entry, event.get("lines") or ())))
 
 
-def read_request(e: dict[str, Any]) -> api.Event:
+def read_request(event: dict[str, Any]) -> api.Event:
     """Read a `Request` event; an absent or negative time budget becomes 0."""
     return api.Request(
-        e["ticket"],
-        e["priority"],
-        max(0.0, float(e.get("timeBudget") or 0.0)),
-        e.get("partitionKey"),
-        e.get("effort"),
-        bool(e.get("update")),
+        event["ticket"],
+        event["priority"],
+        max(0.0, float(event.get("timeBudget") or 0.0)),
+        event.get("partitionKey"),
+        event.get("effort"),
+        bool(event.get("update")),
     )
 
 
-def read_outcome(e: dict[str, Any]) -> api.Event:
+def read_outcome(event: dict[str, Any]) -> api.Event:
     """Read a `Done` event, the outcome of an attempt."""
     return api.Outcome(
-        e["ticket"], e["sendNo"], STATUSES[e["outcome"]], bool(e.get("final")), e.get("lag") or 0.0
+        event["ticket"],
+        event["sendNo"],
+        STATUSES[event["outcome"]],
+        bool(event.get("final")),
+        event.get("lag") or 0.0,
     )
 
 
@@ -88,17 +92,17 @@
 IGNORED = {"Pong"}  # answers to commands that no router sends
 
 
-def write_send(a: api.Send) -> dict[str, Any]:
+def write_send(action: api.Send) -> dict[str, Any]:
     """Write a `Send` command; without a timeout the client's deadline holds."""
-    if a.timeout is None:
-        return {"op": "Send", "ticket": a.request_id, "server": a.server}
-    return {"op": "Send", "ticket": a.request_id, "server": a.server, "timeout": a.timeout}
+    if action.timeout is None:
+        return {"op": "Send", "ticket": action.request_id, "server": action.server}
+    return {"op": "Send", "ticket": action.request_id, "server": action.server, "timeout": action.timeout}
 
 
-def write_refuse(a: api.Refuse) -> dict[str, Any]:
+def write_refuse(action: api.Refuse) -> dict[str, Any]:
     """Write a `Reject` command, with a cool-down if the refusal advises one."""
-    advice = {"coolDown": a.retry_after} if a.retry_after else {}
-    return {"op": "Reject", "ticket": a.request_id, **advice}
+    advice = {"coolDown": action.retry_after} if action.retry_after else {}
+    return {"op": "Reject", "ticket": action.request_id, **advice}
 
 
 WRITERS: dict[type, Callable[[Any], dict[str, Any]]] = {
@@ -115,7 +119,7 @@
 
 
 class SimulatorHost:
-    """The routers of a simulation by their id; they share no state."""
+    """The routers of a simulation, by their ids; they share no state."""
 
     def __init__(self) -> None:
         self.routers: dict[int, Router] = {}
@@ -135,7 +139,10 @@
         return orjson.dumps({"cmds": commands}) + b"\n"
 
     def handle_event(self, now: float, event: Any, commands: list[dict[str, Any]]) -> None:
-        """Hand an event to its router and append the commands; invalid settings give an `InternalError`."""
+        """Hand an event to its router and append the commands that answer it.
+
+        Invalid settings give an `InternalError`. Raises WireError if the event is malformed.
+        """
         try:
             op, router_id = event["op"], event["routerId"]
             if op == "Born":
@@ -163,7 +170,7 @@
 
 
 def main() -> int:
-    """Handle standard input line by line; returns the exit code, 2 after a line that can't be read."""
+    """Handle standard input line by line. Return the exit code: 2 after a line that can't be read."""
     host = SimulatorHost()
     for line in sys.stdin.buffer:
         try:
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -90,7 +90,7 @@
         if shares.caches:
             shares.plan(d.router._clockwise, d.router.ring.owner_at)
             expected = reference_shares(shares)
-            got = {s.entry.server: f for s, f in shares.fair().items()}
+            got = {s.entry.server: f for s, f in shares.fair_shares().items()}
             assert got == pytest.approx(expected)
             assert sum(got.values()) == pytest.approx(1.0) or all(map(shares.is_cold, shares.caches))
 
