--- a/tests/driver.py
+++ b/tests/driver.py
@@ -1,7 +1,7 @@
-"""Drives one router by hand and checks each of its actions against the rules for routers.
+"""Drives one router event by event and checks each of its actions against the rules for routers.
 
 Rule 1: each request gets exactly one final answer, in time. Rule 2: no request can have a second effect.
-Rule 3: nothing is sent to a server that drains or is gone.
+Rule 3: nothing is sent to a server that drains or has gone.
 """
 
 from __future__ import annotations
@@ -35,10 +35,12 @@
 class Driver:
     """A router with a simulated clock, and what its clients, servers and peers see of it."""
 
-    def __init__(self, conf: api.Settings, seed: int = 1, router_class: type[Router] = Router) -> None:
-        self.conf = conf
+    def __init__(
+        self, router_settings: api.Settings, seed: int = 1, router_class: type[Router] = Router
+    ) -> None:
+        self.settings = router_settings
         self.now = 100.0
-        self.router = router_class(conf, seed, self.now)
+        self.router = router_class(router_settings, seed, self.now)
         self.open: dict[str, api.Request] = {}
         self.deadlines: dict[str, float] = {}
         self.ended: dict[str, str] = {}
@@ -83,23 +85,25 @@
         assert target is not None and target.state is api.ServerState.READY, (
             "rule 3: sends to a drained server"
         )
-        spec = self.conf.classes[self.open[name].request_class]
+        class_rules = self.settings.classes[self.open[name].request_class]
         earlier = self.sends.setdefault(name, [])
-        assert len(earlier) < self.conf.max_attempts, "more attempts than allowed"
+        assert len(earlier) < self.settings.max_attempts, "more attempts than allowed"
         ran = [i for i in range(len(earlier)) if self.outcomes[name, i] not in NEVER_RAN]
         outstanding = [i for i in ran if self.outcomes[name, i] is None]
-        assert self.conf.second_copies or not outstanding, "rule 2: two copies out at once"
-        if ran and spec.retry_safety is not api.RetrySafety.SAFE:
-            assert spec.retry_safety is api.RetrySafety.KEYED, "rule 2: an unsafe request sent again"
+        assert self.settings.second_copies or not outstanding, "rule 2: two copies out at once"
+        if ran and class_rules.retry_safety is not api.RetrySafety.SAFE:
+            assert class_rules.retry_safety is api.RetrySafety.KEYED, "rule 2: an unsafe request sent again"
             first = min(self.sent_at[name][i] for i in ran)
-            assert self.now <= first + spec.repeat_window, "rule 2: a keyed request sent after its window"
+            assert self.now <= first + class_rules.repeat_window, (
+                "rule 2: a keyed request sent after its window"
+            )
             for i in ran:
                 other = self.listed.get(earlier[i])
-                same = spec.repeat_group is api.RepeatGroup.ALL or (
+                same = class_rules.repeat_group is api.RepeatGroup.ALL or (
                     other is not None
                     and (
                         other.zone == target.zone
-                        if spec.repeat_group is api.RepeatGroup.ZONE
+                        if class_rules.repeat_group is api.RepeatGroup.ZONE
                         else other.cell == target.cell
                     )
                 )
@@ -116,10 +120,13 @@
 
     def check_refusal(self, name: str) -> None:
         assert name in self.open, "rule 1: a second answer"
-        spec = self.conf.classes[self.open[name].request_class]
+        class_rules = self.settings.classes[self.open[name].request_class]
         ran = [i for i in range(len(self.sends.get(name, []))) if self.outcomes[name, i] not in NEVER_RAN]
-        if ran and spec.retry_safety is not api.RetrySafety.SAFE:
-            harmless = spec.retry_safety is api.RetrySafety.KEYED and spec.repeat_group is api.RepeatGroup.ALL
+        if ran and class_rules.retry_safety is not api.RetrySafety.SAFE:
+            harmless = (
+                class_rules.retry_safety is api.RetrySafety.KEYED
+                and class_rules.repeat_group is api.RepeatGroup.ALL
+            )
             assert harmless, "rule 2: a refusal of what may have run"
 
     def finish(self, name: str, how: str) -> None:
@@ -137,7 +144,7 @@
         return self.feed(api.ServerList(kind, entries))
 
     def request(self, name: str, finish: bool = False, **fields: Any) -> str | None:
-        """Deliver a request; returns the server that its first attempt went to, if any."""
+        """Deliver a request and return the server that its first attempt went to, if any."""
         fields.setdefault("request_class", "read")
         fields.setdefault("time_left", 2.0)
         event = api.Request(name, **fields)
@@ -152,7 +159,7 @@
     def end(
         self, name: str, status: api.Status, attempt: int | None = None, latency: float = 0.05
     ) -> str | None:
-        """End an attempt; returns the server that the next attempt went to, if one was sent."""
+        """End an attempt and return the server that the next attempt went to, if one was sent."""
         count = len(self.sends[name])
         number = count - 1 if attempt is None else attempt
         assert self.outcomes[name, number] is None
--- a/tests/test_demand.py
+++ b/tests/test_demand.py
@@ -1,4 +1,4 @@
-"""The request counts that routers exchange, and how hot keys are split by them."""
+"""The request counts that routers exchange, and how hot keys are split on their basis."""
 
 from __future__ import annotations
 
@@ -72,10 +72,10 @@
     ],
 )
 def test_an_invalid_message_changes_nothing(message: bytes) -> None:
-    d = Driver(settings(may_gossip=True))
-    d.list(*SERVERS)
-    assert d.feed(api.PeerMessage(message)) == []
-    assert not d.router.demand.history.counts and not d.router.demand.history.total
+    driver = Driver(settings(may_gossip=True))
+    driver.list(*SERVERS)
+    assert driver.feed(api.PeerMessage(message)) == []
+    assert not driver.router.demand.history.counts and not driver.router.demand.history.total
 
 
 def test_the_history_stays_bounded() -> None:
@@ -99,85 +99,85 @@
     assert sum(filled.values()) == pytest.approx((59 + 29 + 89) / 200)  # a key's first request may be chance
 
 
-def ask(d: Driver, name: str, key: str) -> tuple[str | None, list[bytes]]:
+def ask(driver: Driver, name: str, key: str) -> tuple[str | None, list[bytes]]:
     """Return the server that a request goes to, and the messages to peers sent with it."""
-    d.now += 0.01
-    server = d.request(name, key=key)
-    sent = [a.content for a in d.last_actions if isinstance(a, api.Broadcast)]
-    d.ok(name)
+    driver.now += 0.01
+    server = driver.request(name, key=key)
+    sent = [a.content for a in driver.last_actions if isinstance(a, api.Broadcast)]
+    driver.ok(name)
     return server, sent
 
 
 def test_a_key_that_is_hot_at_all_routers_together_is_split_by_each() -> None:
     """Each of forty routers had seen the key only a few times, so all sent it to one small server."""
     routers = [Driver(settings(may_gossip=True, siblings=40), seed=i) for i in range(40)]
-    for d in routers:
-        d.list(*SERVERS)
+    for driver in routers:
+        driver.list(*SERVERS)
     messages = []
-    for d in routers:
+    for driver in routers:
         for n in range(4):
-            ask(d, f"r{n}", "hot" if n == 1 else f"k{n}-{d.router.random.random()}")
-        d.now += 1.0
-        messages += ask(d, "last", "other")[1]
+            ask(driver, f"r{n}", "hot" if n == 1 else f"k{n}-{driver.router.random.random()}")
+        driver.now += 1.0
+        messages += ask(driver, "last", "other")[1]
     assert len(messages) == 40
     sent = set()
-    for i, d in enumerate(routers):
+    for i, driver in enumerate(routers):
         for j, message in enumerate(messages):
             if i != j:
-                d.feed(api.PeerMessage(message))
-        d.now += 1.0
-        ask(d, "again", "other")
-        sent.add(ask(d, "hot", "hot")[0])
+                driver.feed(api.PeerMessage(message))
+        driver.now += 1.0
+        ask(driver, "again", "other")
+        sent.add(ask(driver, "hot", "hot")[0])
     assert 5 <= len(sent) <= 13  # four fair shares, into the 0.5 or so that is free at each server
 
 
-def test_what_finds_no_room_in_a_message_is_sent_in_the_next() -> None:
+def test_counts_and_servers_that_find_no_room_in_a_message_are_sent_in_the_next() -> None:
     """Of a lost zone of sixty servers peers were sent twenty-four, and of a hundred hot keys thirty."""
-    d = Driver(settings(may_gossip=True))
-    d.list(*(entry(f"s{i}") for i in range(60)))
+    driver = Driver(settings(may_gossip=True))
+    driver.list(*(entry(f"s{i}") for i in range(60)))
     for n in range(300):
-        d.request(f"k{n}", key=f"k{n % 100}", finish=True)
-    for each in d.router.servers.values():
-        d.router._mark_unhealthy(each)
+        driver.request(f"k{n}", key=f"k{n % 100}", finish=True)
+    for each in driver.router.servers.values():
+        driver.router._mark_unhealthy(each)
     receiver = Driver(settings(may_gossip=True), seed=2)
     receiver.list(*(entry(f"s{i}") for i in range(60)))
     for n in range(5):
-        d.now += 1.0
-        receiver.now = d.now
-        for message in ask(d, f"t{n}", f"t{n}")[1]:
+        driver.now += 1.0
+        receiver.now = driver.now
+        for message in ask(driver, f"t{n}", f"t{n}")[1]:
             receiver.feed(api.PeerMessage(message))
     assert all(s.health < 1 for s in receiver.router.servers.values())
     received = receiver.router.demand.history.counts
-    assert sum(received[hashed(f"k{n}") >> 32] == 3 for n in range(100)) > 90
-    assert not d.router.gossip.unhealthy and not d.router.demand.deferred
+    assert sum(received[ring_position(f"k{n}") >> 32] == 3 for n in range(100)) > 90
+    assert not driver.router.gossip.unhealthy and not driver.router.demand.deferred
 
 
 def test_no_name_is_hashed_for_a_message(monkeypatch: pytest.MonkeyPatch) -> None:
     """Each peer message that named a server cost a hash of every server in the list."""
-    d = Driver(settings(may_gossip=True))
-    d.list(*SERVERS)
-    name = server(d, "s3").name_hash
+    driver = Driver(settings(may_gossip=True))
+    driver.list(*SERVERS)
+    name = server_named(driver, "s3").name_hash
     monkeypatch.setattr(policy, "ring_hash", None)
-    d.feed(api.PeerMessage(Demand().next_message([name, 12345], now=d.now)))
-    assert [s.entry.server for s in d.router.servers.values() if s.health < 1] == ["s3"]
+    driver.feed(api.PeerMessage(Demand().next_message([name, 12345], now=driver.now)))
+    assert [s.entry.server for s in driver.router.servers.values() if s.health < 1] == ["s3"]
 
 
 def test_nothing_is_sent_where_peers_are_disabled() -> None:
-    d = Driver(settings(may_gossip=False))
-    d.list(*SERVERS)
-    assert not [t for n in range(200) for t in ask(d, f"r{n}", "k")[1]]
-    d = Driver(settings(may_gossip=True))
-    d.list(*SERVERS)
-    assert [t for n in range(200) for t in ask(d, f"r{n}", "k")[1]]
+    driver = Driver(settings(may_gossip=False))
+    driver.list(*SERVERS)
+    assert not [t for n in range(200) for t in ask(driver, f"r{n}", "k")[1]]
+    driver = Driver(settings(may_gossip=True))
+    driver.list(*SERVERS)
+    assert [t for n in range(200) for t in ask(driver, f"r{n}", "k")[1]]
 
 
 def test_routers_that_start_together_do_not_send_in_step() -> None:
     times = []
     for seed in range(8):
-        d = Driver(settings(may_gossip=True), seed=seed)
-        d.list(*SERVERS)
-        ask(d, "first", "k")
-        times.append(round(d.router.gossip.next_at - d.now, 4))
+        driver = Driver(settings(may_gossip=True), seed=seed)
+        driver.list(*SERVERS)
+        ask(driver, "first", "k")
+        times.append(round(driver.router.gossip.next_at - driver.now, 4))
     assert len(set(times)) > 4
 
 
@@ -185,8 +185,8 @@
 def test_all_routers_send_less_to_a_server_that_one_finds_dead(how: str) -> None:
     """Each of forty routers lost a request a second to it, while the others had long known."""
     sender, receiver = (Driver(settings(may_gossip=True, siblings=40), seed=s) for s in (1, 2))
-    for d in (sender, receiver):
-        d.list(*SERVERS)
+    for driver in (sender, receiver):
+        driver.list(*SERVERS)
     before = [receiver.request(f"b{n}", key=f"k{n}", finish=True) for n in range(400)]
     for n in range(3):
         dead = sender.request(f"r{n}", key="k")
@@ -207,14 +207,14 @@
 
 def test_no_key_moves_where_all_servers_are_equally_unhealthy() -> None:
     """In an overload, cutting the full servers overloaded the next ones, until all had been cut."""
-    d = Driver(settings(may_gossip=True))
-    d.list(*SERVERS)
-    before = [ask(d, f"b{n}", f"k{n}")[0] for n in range(200)]
-    for server in d.router.servers.values():
-        d.router.shares.cut_health(server)
-    d.now += 0.5
-    ask(d, "tell", "k")
-    assert [d.request(f"a{n}", key=f"k{n}", finish=True) for n in range(200)] == before
+    driver = Driver(settings(may_gossip=True))
+    driver.list(*SERVERS)
+    before = [ask(driver, f"b{n}", f"k{n}")[0] for n in range(200)]
+    for server in driver.router.servers.values():
+        driver.router.shares.cut_health(server)
+    driver.now += 0.5
+    ask(driver, "tell", "k")
+    assert [driver.request(f"a{n}", key=f"k{n}", finish=True) for n in range(200)] == before
 
 
 @pytest.mark.parametrize(("siblings", "least", "most"), [(4, 1.0, 1.0), (40, 1.0, 1.0), (200, 0.1, 0.3)])
@@ -222,19 +222,19 @@
     siblings: int, least: float, most: float
 ) -> None:
     """Counts of all requests sent to all two hundred routers cost five percentage points of service."""
-    d = Driver(settings(may_gossip=True, siblings=siblings))
-    d.list(*SERVERS)
+    driver = Driver(settings(may_gossip=True, siblings=siblings))
+    driver.list(*SERVERS)
     messages = 0
     for n in range(400):
-        d.now += 0.5  # longer than the longest interval of messages
-        messages += len(ask(d, f"r{n}", f"k{n}")[1])
+        driver.now += 0.5  # longer than the longest interval of messages
+        messages += len(ask(driver, f"r{n}", f"k{n}")[1])
     assert least * 400 <= messages <= most * 400
     for n in range(3):  # a dead server is reported at once, in a fleet of any size
-        d.request(f"s{n}", key="k")
-    d.now += 1.5
-    ask(d, "t", "k")
-    d.now += 0.5
-    assert ask(d, "last", "other")[1]
+        driver.request(f"s{n}", key="k")
+    driver.now += 1.5
+    ask(driver, "t", "k")
+    driver.now += 0.5
+    assert ask(driver, "last", "other")[1]
 
 
 def test_the_history_is_shorter_where_less_is_sent() -> None:
@@ -266,28 +266,28 @@
 def test_a_cold_server_does_not_get_what_full_ones_refuse_of_a_hot_key() -> None:
     """The walk ended behind two full servers and fell back on the first one, cold or not."""
     cold = entry("cold", started_at=95.0)
-    d = Driver(settings(subscribe=True, ramp=23.0, cold_share=0.13, overload_factor=3.0))
-    d.list(*SERVERS, cold)
+    driver = Driver(settings(subscribe=True, ramp=23.0, cold_share=0.13, overload_factor=3.0))
+    driver.list(*SERVERS, cold)
     key = next(
         k
         for k in (f"k{n}" for n in range(100_000))
-        if next(d.router._clockwise(hashed(k))) is server(d, "cold")
+        if next(driver.router._clockwise(ring_position(k))) is server_named(driver, "cold")
     )
-    d.router.demand.history.counts[hashed(key) >> 32] = 300
-    d.router.demand.history.total = 1000.0
-    d.now += 1.0
-    d.request("first", key=key, finish=True)  # splits the key
-    portions = d.router.shares.hot_shares[hashed(key) >> 32]
-    planned = [s for s in portions if portions[s] and s is not server(d, "cold")]
+    driver.router.demand.history.counts[ring_position(key) >> 32] = 300
+    driver.router.demand.history.total = 1000.0
+    driver.now += 1.0
+    driver.request("first", key=key, finish=True)  # splits the key
+    portions = driver.router.shares.hot_shares[ring_position(key) >> 32]
+    planned = [s for s in portions if portions[s] and s is not server_named(driver, "cold")]
     for other in planned[:3]:
         other.in_flight = int(other.limit)
-    sent = [d.request(f"r{n}", key=key, finish=True) for n in range(200)]
-    assert sent.count("cold") < 200 * 2 * portions[server(d, "cold")] / sum(portions.values()) + 10
+    sent = [driver.request(f"r{n}", key=key, finish=True) for n in range(200)]
+    assert sent.count("cold") < 200 * 2 * portions[server_named(driver, "cold")] / sum(portions.values()) + 10
 
 
-def hashed(key: str) -> int:
+def ring_position(key: str) -> int:
     return ring_hash(key)[0]
 
 
-def server(d: Driver, name: str) -> Server:
-    return d.router.servers[name]
+def server_named(driver: Driver, name: str) -> Server:
+    return driver.router.servers[name]
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -14,7 +14,7 @@
 from tests.fleet import FleetModel, zipf_weights
 
 LOAD = 0.5  # share of the warm servers' capacity that clients' requests take
-CONF = settings(may_gossip=True, cold_share=0.13, ramp=23.0, overload_factor=3.0, overload_window=1.5)
+SETTINGS = settings(may_gossip=True, cold_share=0.13, ramp=23.0, overload_factor=3.0, overload_window=1.5)
 
 
 def worst_load(fleet: FleetModel, cold: list[api.ServerEntry], fair: float) -> float:
@@ -23,10 +23,10 @@
     for server in cold:
         times = [t for t, _ in fleet.sent[server.server]]
         for i, t in enumerate(times):
-            age = (t - server.started_at) / CONF.ramp
-            capacity = fair / LOAD * (CONF.cold_share + (1 - CONF.cold_share) * age)
-            sent = bisect_left(times, t + CONF.overload_window) - i
-            worst = max(worst, sent / (CONF.overload_factor * CONF.overload_window * capacity))
+            age = (t - server.started_at) / SETTINGS.ramp
+            capacity = fair / LOAD * (SETTINGS.cold_share + (1 - SETTINGS.cold_share) * age)
+            sent = bisect_left(times, t + SETTINGS.overload_window) - i
+            worst = max(worst, sent / (SETTINGS.overload_factor * SETTINGS.overload_window * capacity))
     return worst
 
 
@@ -38,13 +38,13 @@
     servers: int
     cold: int
     rate: float
-    messages: bool = True  # whether routers receive those of peers
+    messages: bool = True  # whether routers receive the messages of peers
     killed: float = 0.0  # share of the routers
 
     def run(self) -> tuple[float, float]:
         """Return the worst window of all cold servers, and the share of the requests that is served."""
         old = [entry(f"old{i}", zone="abc"[i % 3]) for i in range(self.servers)]
-        fleet = FleetModel(CONF, self.routers, old)
+        fleet = FleetModel(SETTINGS, self.routers, old)
         fleet.deliver_messages = self.messages
         keys = zipf_weights(20 * self.servers)
         fleet.run(0.6, self.rate, keys)
@@ -77,7 +77,7 @@
 def test_all_routers_together_do_not_overload_cold_servers(
     scenario: Replacement, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Cold servers got whole keys, and the virtual nodes other cold ones left out: many times the limit."""
+    """Cold servers got whole keys and the ones that other cold servers left out: many times the limit."""
     monkeypatch.setattr(ring, "virtual_nodes", cache(ring.virtual_nodes))  # equal at all routers
     load, served = scenario.run()
     assert 0 < load <= 0.75  # two thirds, and a margin for chance where a window holds ten requests
@@ -86,7 +86,7 @@
 
 def test_where_all_servers_are_cold_the_excess_is_told_to_retry_later() -> None:
     """With no warm server left, all requests went to cold ones: eight times their capacity."""
-    fleet = FleetModel(replace(CONF, max_retry_after=2.0), 40, [entry("old")])
+    fleet = FleetModel(replace(SETTINGS, max_retry_after=2.0), 40, [entry("old")])
     cold = [entry(f"new{i}", started_at=fleet.now) for i in range(20)]
     for number in range(40):
         fleet.dispatch(number, api.ServerList(api.ListKind.FULL, tuple(cold)))
@@ -94,6 +94,5 @@
     assert worst_load(fleet, cold, 2000.0 / 20) <= 0.75
     assert 0.1 < fleet.finished["served"] / fleet.finished.total() < 0.4
     assert min(fleet.retry_afters) >= 0.75 and max(fleet.retry_afters) <= 1.5
-    assert (
-        max(fleet.retry_afters) - min(fleet.retry_afters) > 0.5
-    )  # spread, so that retries do not come all at once
+    # spread, so that retries do not come all at once
+    assert max(fleet.retry_afters) - min(fleet.retry_afters) > 0.5
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -49,8 +49,8 @@
 
 def rate_of(siblings: int, keys: int) -> tuple[float, float]:
     """Return bytes and messages a second that a router receives from its siblings, with `keys` in each."""
-    conf = settings(may_gossip=True, siblings=siblings)
-    gossip, now, size, count = Gossip(conf, random.Random(3), 0.0), 0.0, 0, 0
+    router_settings = settings(may_gossip=True, siblings=siblings)
+    gossip, now, size, count = Gossip(router_settings, random.Random(3), 0.0), 0.0, 0, 0
     while now < 400.0:
         now += 0.01
         if gossip.due(now):
@@ -76,9 +76,9 @@
 
 def test_a_server_that_a_peer_has_reported_is_not_reported_again() -> None:
     first, second = (Driver(settings(may_gossip=True, siblings=40), seed=s) for s in (1, 2))
-    for d in (first, second):
-        d.list(*SERVERS)
-        d.router._mark_unhealthy(d.router.servers["s1"])
+    for driver in (first, second):
+        driver.list(*SERVERS)
+        driver.router._mark_unhealthy(driver.router.servers["s1"])
     content = first.router.gossip.next_message(first.now)
     assert servers_in(content) == [first.router.servers["s1"].name_hash]
     second.feed(api.PeerMessage(content))
@@ -87,48 +87,47 @@
 
 
 def test_a_server_is_reported_again_while_it_fails() -> None:
-    d = Driver(settings(may_gossip=True, siblings=40))
-    d.list(*SERVERS)
+    driver = Driver(settings(may_gossip=True, siblings=40))
+    driver.list(*SERVERS)
     reports: Counter[int] = Counter()
     for _ in range(40):
-        d.now += 0.1
-        d.feed(api.TimerFired("the time"))
-        d.router._mark_unhealthy(d.router.servers["s1"])
-        reports.update(servers_in(d.router.gossip.next_message(d.now) or EMPTY))
-    assert (
-        8 <= reports[d.router.servers["s1"].name_hash] <= 16
-    )  # once for each cut that counts: four a second
+        driver.now += 0.1
+        driver.feed(api.TimerFired("the time"))
+        driver.router._mark_unhealthy(driver.router.servers["s1"])
+        reports.update(servers_in(driver.router.gossip.next_message(driver.now) or EMPTY))
+    # once for each cut that takes effect: four a second
+    assert 8 <= reports[driver.router.servers["s1"].name_hash] <= 16
 
 
 def test_unhealthy_servers_are_reported_without_key_counts_in_a_large_fleet() -> None:
     """Each of 2,300 routers that found a server unhealthy sent thirty keys along with it."""
-    d = Driver(settings(may_gossip=True, siblings=2300))
-    d.list(*SERVERS)
+    driver = Driver(settings(may_gossip=True, siblings=2300))
+    driver.list(*SERVERS)
     sizes = []
     for n in range(200):
         for key in range(60):
-            d.router.gossip.demand.add(key)
-        d.now += 0.3
-        d.feed(api.TimerFired("the time"))
-        d.router._mark_unhealthy(d.router.servers[f"s{n % 12}"])
-        sizes.append(len(d.router.gossip.next_message(d.now)))
+            driver.router.gossip.demand.add(key)
+        driver.now += 0.3
+        driver.feed(api.TimerFired("the time"))
+        driver.router._mark_unhealthy(driver.router.servers[f"s{n % 12}"])
+        sizes.append(len(driver.router.gossip.next_message(driver.now)))
     assert sorted(sizes)[180] == DIGEST_BYTES + HEADER.size + SERVER_ID.size
 
 
 def test_a_stale_message_changes_nothing_and_is_counted() -> None:
-    d = Driver(settings(may_gossip=True, siblings=40))
-    d.list(*SERVERS)
-    name = d.router.servers["s1"].name_hash
+    driver = Driver(settings(may_gossip=True, siblings=40))
+    driver.list(*SERVERS)
+    name = driver.router.servers["s1"].name_hash
     sender = Demand()
     sender.add(7)
-    late = sender.next_message([name], now=d.now - MAX_AGE_FACTOR - 0.1)
-    assert d.feed(api.PeerMessage(late)) == []
-    assert d.feed(api.PeerMessage(late[:-1])) == []
-    assert d.router.servers["s1"].health == 1 and not d.router.demand.history.total
-    assert (d.router.demand.stale, d.router.demand.invalid) == (1, 1)
+    late = sender.next_message([name], now=driver.now - MAX_AGE_FACTOR - 0.1)
+    assert driver.feed(api.PeerMessage(late)) == []
+    assert driver.feed(api.PeerMessage(late[:-1])) == []
+    assert driver.router.servers["s1"].health == 1 and not driver.router.demand.history.total
+    assert (driver.router.demand.stale, driver.router.demand.invalid) == (1, 1)
     sender.add(7)
-    d.feed(api.PeerMessage(sender.next_message([name], now=d.now - MAX_AGE_FACTOR + 0.1)))
-    assert d.router.servers["s1"].health < 1 and d.router.demand.history.total == 1
+    driver.feed(api.PeerMessage(sender.next_message([name], now=driver.now - MAX_AGE_FACTOR + 0.1)))
+    assert driver.router.servers["s1"].health < 1 and driver.router.demand.history.total == 1
 
 
 def test_the_timestamp_of_a_message_is_read_also_where_it_wraps_round() -> None:
@@ -141,13 +140,13 @@
 
 
 def test_unhealthy_servers_are_not_reported_where_peers_are_disabled() -> None:
-    d = Driver(settings(may_gossip=False, siblings=40))
-    d.list(*SERVERS)
+    driver = Driver(settings(may_gossip=False, siblings=40))
+    driver.list(*SERVERS)
     for _ in range(20):
-        d.now += 0.5
-        d.router._mark_unhealthy(d.router.servers["s1"])
-        d.request(f"r{d.now}", key="k", finish=True)
-    assert not d.broadcasts
+        driver.now += 0.5
+        driver.router._mark_unhealthy(driver.router.servers["s1"])
+        driver.request(f"r{driver.now}", key="k", finish=True)
+    assert not driver.broadcasts
 
 
 def test_a_message_of_the_previous_format_is_ignored() -> None:
--- a/tests/test_ring.py
+++ b/tests/test_ring.py
@@ -40,26 +40,26 @@
 
 
 def test_primary_is_first_virtual_node_clockwise() -> None:
-    d = Driver(settings())
-    d.list(entry("a", weight=2), entry("b", weight=1), entry("c", weight=1))
+    driver = Driver(settings())
+    driver.list(entry("a", weight=2), entry("b", weight=1), entry("c", weight=1))
     for n in range(200):
-        sent = d.request(f"r{n}", key=f"k{n}")
+        sent = driver.request(f"r{n}", key=f"k{n}")
         assert sent == primary_of(f"k{n}", {"a": 128, "b": 64, "c": 64})
-        d.ok(f"r{n}")
+        driver.ok(f"r{n}")
 
 
-def primaries(d: Driver, run: str, count: int = 2000) -> list[str | None]:
-    return [d.request(f"{run}{k}", key=f"k{k}", finish=True) for k in range(count)]
+def primaries(driver: Driver, run: str, count: int = 2000) -> list[str | None]:
+    return [driver.request(f"{run}{k}", key=f"k{k}", finish=True) for k in range(count)]
 
 
 @pytest.mark.parametrize("size", [10, 90, 300])
 def test_shares_of_the_ring_follow_the_weights(size: int) -> None:
     """A fixed total of 150 virtual nodes left most servers of a large fleet with one or two, or none."""
-    d = Driver(settings())
-    d.list(*(entry(f"s{i}", weight=1 + i % 2) for i in range(size)))
-    ring = d.router.ring.positions
-    share = dict.fromkeys(d.router.servers, 0)
-    for before, p, owner in zip([ring[-1] - 2**64, *ring], ring, d.router.ring.owners, strict=False):
+    driver = Driver(settings())
+    driver.list(*(entry(f"s{i}", weight=1 + i % 2) for i in range(size)))
+    ring = driver.router.ring.positions
+    share = dict.fromkeys(driver.router.servers, 0)
+    for before, p, owner in zip([ring[-1] - 2**64, *ring], ring, driver.router.ring.owners, strict=False):
         share[owner.entry.server] += p - before
     for i, arc in enumerate(share.values()):
         fair = 2**64 * (1 + i % 2) / (size + size // 2)
@@ -68,16 +68,16 @@
 
 @pytest.mark.parametrize("size", [10, 90, 300])
 def test_a_leave_or_join_moves_its_own_keys_and_no_others(size: int) -> None:
-    d = Driver(settings())
+    driver = Driver(settings())
     everyone = [entry(f"s{i}") for i in range(size)]
-    d.list(*everyone)
-    before = primaries(d, "a")
-    d.list(*everyone[:-1])
-    after = primaries(d, "b")
+    driver.list(*everyone)
+    before = primaries(driver, "a")
+    driver.list(*everyone[:-1])
+    after = primaries(driver, "b")
     moved = [k for k, s in enumerate(before) if s != after[k]]
     assert {before[k] for k in moved} == {f"s{size - 1}"} and len(moved) < 2 * 2000 / size
-    d.list(*reversed(everyone))  # the order of the list does not matter either
-    assert primaries(d, "c") == before
+    driver.list(*reversed(everyone))  # the order of the list does not matter either
+    assert primaries(driver, "c") == before
 
 
 def test_routers_with_the_same_list_agree_whatever_lists_they_had_before() -> None:
@@ -91,23 +91,23 @@
 
 def test_live_weights_move_no_keys() -> None:
     """Weights that fall with load used to move keys with every list, to servers that had not cached them."""
-    d = Driver(settings(live_weights=True))
-    d.list(entry("a", kind="x"), entry("b", kind="x"), entry("c", kind="y", weight=2.0))
-    before = primaries(d, "a")
-    d.list(
+    driver = Driver(settings(live_weights=True))
+    driver.list(entry("a", kind="x"), entry("b", kind="x"), entry("c", kind="y", weight=2.0))
+    before = primaries(driver, "a")
+    driver.list(
         entry("a", kind="x", weight=0.6), entry("b", kind="x", weight=0.9), entry("c", kind="y", weight=1.1)
     )
-    assert primaries(d, "b") == before
+    assert primaries(driver, "b") == before
 
 
 def test_a_cold_server_has_its_warm_up_share_of_keys_at_every_router() -> None:
     """Budgets per router always let one request through: hundreds of routers overloaded the server."""
     shares = []
     for age in (0.0, 5.0, 10.0):
-        d = Driver(settings(ramp=10.0, cold_share=0.3))
-        d.list(*(entry(f"s{i}") for i in range(9)), entry("cold", started_at=d.now))
-        d.now += age
-        shares.append(primaries(d, "r").count("cold") / 2000 * 10)
+        driver = Driver(settings(ramp=10.0, cold_share=0.3))
+        driver.list(*(entry(f"s{i}") for i in range(9)), entry("cold", started_at=driver.now))
+        driver.now += age
+        shares.append(primaries(driver, "r").count("cold") / 2000 * 10)
     assert shares == sorted(shares)
     assert shares == pytest.approx([0.3, 0.65, 1.0], abs=0.2)
 
@@ -117,157 +117,161 @@
 
     1.5 times the stated share, below the overload multiple, is intended while warm servers are scarce.
     """
-    d = Driver(settings(ramp=1e9, cold_share=0.1, overload_factor=3.0))
-    d.list(*(entry(f"s{i}") for i in range(8)), *(entry(f"cold{i}", started_at=d.now) for i in range(12)))
-    primaries(d, "a")
-    d.now += 1.0
-    sent = primaries(d, "b")
+    driver = Driver(settings(ramp=1e9, cold_share=0.1, overload_factor=3.0))
+    driver.list(
+        *(entry(f"s{i}") for i in range(8)), *(entry(f"cold{i}", started_at=driver.now) for i in range(12))
+    )
+    primaries(driver, "a")
+    driver.now += 1.0
+    sent = primaries(driver, "b")
     cold = sum(s is not None and s.startswith("cold") for s in sent) / len(sent)
     assert cold == pytest.approx(1.5 * 12 / 20 * 0.1, abs=0.02)
 
 
 def test_a_hot_key_is_split_also_while_most_servers_are_cold() -> None:
     """Cold servers were planned with their full share, so no capacity was free and the first took the key."""
-    d = Driver(settings(ramp=1e9, cold_share=0.1))
-    d.list(*(entry(f"s{i}") for i in range(8)), *(entry(f"cold{i}", started_at=d.now) for i in range(12)))
+    driver = Driver(settings(ramp=1e9, cold_share=0.1))
+    driver.list(
+        *(entry(f"s{i}") for i in range(8)), *(entry(f"cold{i}", started_at=driver.now) for i in range(12))
+    )
     sent = []
     for n in range(3000):
-        d.now += 0.002
-        sent.append(d.request(f"r{n}", key=f"k{n}" if n % 5 else "hot", finish=True))
+        driver.now += 0.002
+        sent.append(driver.request(f"r{n}", key=f"k{n}" if n % 5 else "hot", finish=True))
     hot = sent[1000::5]
     assert max(hot.count(s) for s in set(hot)) < 0.6 * len(hot)
 
 
 def test_a_list_that_changes_no_virtual_nodes_costs_no_sorting() -> None:
     """Each change of one entry, and each full list, used to sort the whole ring again."""
-    d = Driver(settings())
+    driver = Driver(settings())
     entries = [entry(f"s{i}") for i in range(30)]
-    d.list(*entries)
-    before, last = d.router.ring.positions, d.router.ring.owners[-1]
-    d.list(*entries)
-    d.list(entry("s3", started_at=0.0, cell=1), kind=api.ListKind.DELTA)
-    assert d.router.ring.positions is before
-    d.list(entry("s30"), kind=api.ListKind.DELTA)
-    assert len(d.router.ring.positions) == 31 * 128 and d.router.ring.positions is not before
-    assert sorted(d.router.ring.positions) == list(d.router.ring.positions)
-    d.list(*entries)
-    assert list(d.router.ring.positions) == list(before) and d.router.ring.owners[-1] is last
+    driver.list(*entries)
+    before, last = driver.router.ring.positions, driver.router.ring.owners[-1]
+    driver.list(*entries)
+    driver.list(entry("s3", started_at=0.0, cell=1), kind=api.ListKind.DELTA)
+    assert driver.router.ring.positions is before
+    driver.list(entry("s30"), kind=api.ListKind.DELTA)
+    assert len(driver.router.ring.positions) == 31 * 128 and driver.router.ring.positions is not before
+    assert sorted(driver.router.ring.positions) == list(driver.router.ring.positions)
+    driver.list(*entries)
+    assert list(driver.router.ring.positions) == list(before) and driver.router.ring.owners[-1] is last
 
 
 def test_keys_follow_the_weights() -> None:
-    d = Driver(settings())
-    d.list(entry("big", weight=9), entry("small", weight=1))
-    hits = [d.request(f"r{n}", key=f"k{n}", finish=True) for n in range(1000)]
+    driver = Driver(settings())
+    driver.list(entry("big", weight=9), entry("small", weight=1))
+    hits = [driver.request(f"r{n}", key=f"k{n}", finish=True) for n in range(1000)]
     assert 800 < hits.count("big") < 980
 
 
-def walk(d: Driver, name: str, key: str) -> str:
-    sent = d.request(name, key=key)
+def walk(driver: Driver, name: str, key: str) -> str:
+    sent = driver.request(name, key=key)
     assert sent is not None
     return sent
 
 
 def test_hot_key_spills_clockwise() -> None:
     """Unanswered requests for one key spread over the servers instead of all queueing at the first."""
-    d = Driver(settings())
-    d.list(*(entry(n) for n in "abcd"))
-    sent = [walk(d, f"r{n}", "hot") for n in range(8)]
+    driver = Driver(settings())
+    driver.list(*(entry(n) for n in "abcd"))
+    sent = [walk(driver, f"r{n}", "hot") for n in range(8)]
     assert len(set(sent)) > 1
     assert sent[0] == primary_of("hot", dict.fromkeys("abcd", 128))
 
 
 def test_draining_servers_have_no_virtual_nodes() -> None:
-    d = Driver(settings())
-    d.list(entry("a"), entry("b", state=api.ServerState.DRAINING))
-    assert {d.request(f"r{n}", key=f"k{n}", finish=True) for n in range(50)} == {"a"}
+    driver = Driver(settings())
+    driver.list(entry("a"), entry("b", state=api.ServerState.DRAINING))
+    assert {driver.request(f"r{n}", key=f"k{n}", finish=True) for n in range(50)} == {"a"}
 
 
 def test_origin_has_no_virtual_nodes_and_gets_writes_and_misses() -> None:
-    d = Driver(settings(aside=True, origin_kind="origin"))
-    d.list(entry("a"), entry("o", kind="origin"))
-    assert d.request("w", key="k", write=True) == "o"
-    d.ok("w")
-    assert d.request("r", key="k") == "a"
-    assert d.end("r", api.Status.MISS) == "o"
+    driver = Driver(settings(aside=True, origin_kind="origin"))
+    driver.list(entry("a"), entry("o", kind="origin"))
+    assert driver.request("w", key="k", write=True) == "o"
+    driver.ok("w")
+    assert driver.request("r", key="k") == "a"
+    assert driver.end("r", api.Status.MISS) == "o"
 
 
 def test_through_mode_walks_writes_on_the_ring() -> None:
-    d = Driver(settings())
-    d.list(entry("a"), entry("b"))
-    assert d.request("w", key="k", write=True) == primary_of("k", {"a": 128, "b": 128})
+    driver = Driver(settings())
+    driver.list(entry("a"), entry("b"))
+    assert driver.request("w", key="k", write=True) == primary_of("k", {"a": 128, "b": 128})
 
 
 def test_few_requests_do_not_split_a_key() -> None:
     """With one request or so in flight a plain load cap was hit by chance, and two servers cached the key."""
-    d = Driver(settings())
-    d.list(*(entry(f"s{n}") for n in range(90)))
-    assert len({walk(d, f"r{n}", "k") for n in range(2)}) == 1
+    driver = Driver(settings())
+    driver.list(*(entry(f"s{n}") for n in range(90)))
+    assert len({walk(driver, f"r{n}", "k") for n in range(2)}) == 1
 
 
 @pytest.mark.parametrize("cold", [False, True])
 def test_a_hot_key_spreads_over_no_more_servers_than_needed(cold: bool) -> None:
     """One key has a fifth of all requests, at a router that never has two in flight at one server."""
-    d = Driver(settings())
-    d.list(*(entry(f"s{i}", weight=2.0 if i % 2 else 1.0) for i in range(30)))
-    first = d.request("first", key="hot", finish=True)
-    since = d.now if cold else 0.0
-    d.list(*(entry(f"s{i}", started_at=since if f"s{i}" == first else 0.0) for i in range(30)))
+    driver = Driver(settings())
+    driver.list(*(entry(f"s{i}", weight=2.0 if i % 2 else 1.0) for i in range(30)))
+    first = driver.request("first", key="hot", finish=True)
+    since = driver.now if cold else 0.0
+    driver.list(*(entry(f"s{i}", started_at=since if f"s{i}" == first else 0.0) for i in range(30)))
     sent = []
     for n in range(2000):
-        d.now += 0.002
-        sent.append(d.request(f"r{n}", key=f"k{n}" if n % 5 else "hot", finish=True))
+        driver.now += 0.002
+        sent.append(driver.request(f"r{n}", key=f"k{n}" if n % 5 else "hot", finish=True))
     hot = sent[400::5]
     assert 8 <= len(set(hot)) <= 18  # six fair shares, into the 0.45 or so that is free at each server
     assert hot.count(first) < (0.1 if cold else 0.3) * len(hot)
-    assert sum(a == b for a, b in zip(sent, primaries(d, "x"), strict=True) if a) > 1000
+    assert sum(a == b for a, b in zip(sent, primaries(driver, "x"), strict=True) if a) > 1000
 
 
 def test_a_cold_server_takes_no_spills() -> None:
     """In a burst, requests that full neighbours could not take overloaded a server that had just started."""
-    d = Driver(settings())
-    d.list(*(entry(n) for n in "abc"), entry("d", started_at=d.now))
+    driver = Driver(settings())
+    driver.list(*(entry(n) for n in "abc"), entry("d", started_at=driver.now))
     for n in range(300):
         for s in "abc":
-            d.router.servers[s].limit = 0.0
-        d.request(f"r{n}", key=f"k{n}", finish=f"r{n}" in d.sends)
-    assert sum("d" in s for s in d.sends.values()) < 300 / 4 * 0.5
+            driver.router.servers[s].limit = 0.0
+        driver.request(f"r{n}", key=f"k{n}", finish=f"r{n}" in driver.sends)
+    assert sum("d" in s for s in driver.sends.values()) < 300 / 4 * 0.5
 
 
 def test_the_walk_is_bounded() -> None:
     """With no eligible server the walk used to visit the whole ring for each request."""
-    d = Driver(settings())
-    d.list(*(entry(f"s{i}") for i in range(90)))
-    for s in d.router.servers.values():
-        s.in_flight, s.unanswered_since = 1, d.now - 5.0
+    driver = Driver(settings())
+    driver.list(*(entry(f"s{i}") for i in range(90)))
+    for s in driver.router.servers.values():
+        s.in_flight, s.unanswered_since = 1, driver.now - 5.0
     looked: list[object] = []
-    eligible = d.router._eligible
-    d.router._eligible = lambda held, server: looked.append(server) or eligible(held, server)  # type: ignore[method-assign,func-returns-value]
-    assert d.request("r", key="k") is None and d.ended["r"] == "refused"
+    eligible = driver.router._eligible
+    driver.router._eligible = lambda held, server: looked.append(server) or eligible(held, server)  # type: ignore[method-assign,func-returns-value]
+    assert driver.request("r", key="k") is None and driver.ended["r"] == "refused"
     assert 0 < len(looked) <= policy.MAX_WALK_NODES
 
 
 def test_a_cold_server_gets_less_while_answers_fail() -> None:
     """In an overload, clients' retries multiplied the load and overloaded servers that had just started."""
-    d = Driver(settings(cold_share=0.3, max_attempts=1))
-    d.list(*(entry(n) for n in "abc"), entry("d", started_at=d.now))
-    assert primaries(d, "a").count("d") > 80
-    cold = d.router.servers["d"]
-    assert d.router.shares.accepted_share(cold) == pytest.approx(0.3)
+    driver = Driver(settings(cold_share=0.3, max_attempts=1))
+    driver.list(*(entry(n) for n in "abc"), entry("d", started_at=driver.now))
+    assert primaries(driver, "a").count("d") > 80
+    cold = driver.router.servers["d"]
+    assert driver.router.shares.accepted_share(cold) == pytest.approx(0.3)
     for n in range(20):
-        if d.request(f"f{n}", key=f"k{n}") is not None:
-            d.end(f"f{n}", api.Status.TIMEOUT)
-    assert d.router.shares.accepted_share(cold) < 0.3 / 4
+        if driver.request(f"f{n}", key=f"k{n}") is not None:
+            driver.end(f"f{n}", api.Status.TIMEOUT)
+    assert driver.router.shares.accepted_share(cold) < 0.3 / 4
 
 
 def test_routers_agree_which_small_keys_a_cold_server_has() -> None:
     """Split at random, each small key was fetched from the origin twice: for the cold server and the next."""
     sent = []
     for seed in (1, 2):
-        d = Driver(settings(ramp=1e9, cold_share=0.3), seed=seed)
-        d.list(*(entry(f"s{i}") for i in range(4)), entry("cold", started_at=d.now))
-        primaries(d, "a")  # without any counts every key may be all the demand
-        sent.append(primaries(d, "b"))
-        assert sent[-1] == primaries(d, "c") and sent[-1].count("cold") > 50
+        driver = Driver(settings(ramp=1e9, cold_share=0.3), seed=seed)
+        driver.list(*(entry(f"s{i}") for i in range(4)), entry("cold", started_at=driver.now))
+        primaries(driver, "a")  # without any counts every key may be all the demand
+        sent.append(primaries(driver, "b"))
+        assert sent[-1] == primaries(driver, "c") and sent[-1].count("cold") > 50
     assert sent[0] == sent[1]
 
 
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -1,4 +1,4 @@
-"""Traffic shares, which are computed from reduced servers alone, against a computation over all servers."""
+"""Traffic shares, computed from cold and unhealthy servers alone, against a computation over all servers."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from brackenwalk.state import Server
 from tests.driver import Driver, entry, settings
 
-CONF = settings(may_gossip=True, cold_share=0.2, ramp=10.0, max_list_age=10.0)
+SETTINGS = settings(may_gossip=True, cold_share=0.2, ramp=10.0, max_list_age=10.0)
 
 
 def reference_shares(shares: TrafficShares) -> dict[str, float]:
@@ -60,24 +60,24 @@
 @hypothesis_settings(deadline=None, derandomize=True, max_examples=150)
 @given(st.lists(step, max_size=14), st.floats(0.3, 1.0))
 def test_shares_match_a_computation_over_every_server(steps: list[tuple[str, int]], success: float) -> None:
-    d = Driver(CONF)
+    driver = Driver(SETTINGS)
     zones = [f"z{i % 2}" for i in range(8)]
-    d.list(*(entry(f"s{i}", zone=zones[i], weight=1.0 + i % 3) for i in range(8)))
-    shares = d.router.shares
+    driver.list(*(entry(f"s{i}", zone=zones[i], weight=1.0 + i % 3) for i in range(8)))
+    shares = driver.router.shares
     shares.success_share = success
     starts = [0.0] * 8
-    for what, number in steps:
-        server = d.router.servers.get(f"s{number}")
-        if what == "wait":
-            d.now += number / 10
-        elif what == "cut" and server is not None:
+    for change, number in steps:
+        server = driver.router.servers.get(f"s{number}")
+        if change == "wait":
+            driver.now += number / 10
+        elif change == "cut" and server is not None:
             shares.cut_health(server)
-        elif what == "zone" and (zone := shares.zones.get(f"z{number}")) is not None:
-            zone.last_answer_at = d.now - 2.0
+        elif change == "zone" and (zone := shares.zones.get(f"z{number}")) is not None:
+            zone.last_answer_at = driver.now - 2.0
             shares.zone_recovered(zone)
-        elif what in ("drain", "start", "ready"):
-            starts[number] = d.now if what == "start" else starts[number]
-            state = api.ServerState.DRAINING if what == "drain" else api.ServerState.READY
+        elif change in ("drain", "start", "ready"):
+            starts[number] = driver.now if change == "start" else starts[number]
+            state = api.ServerState.DRAINING if change == "drain" else api.ServerState.READY
             changed = entry(
                 f"s{number}",
                 zone=zones[number],
@@ -85,10 +85,10 @@
                 started_at=starts[number],
                 state=state,
             )
-            d.list(changed, kind=api.ListKind.DELTA)
-        d.feed(api.TimerFired("the time"))
+            driver.list(changed, kind=api.ListKind.DELTA)
+        driver.feed(api.TimerFired("the time"))
         if shares.caches:
-            shares.plan(d.router._clockwise, d.router.ring.owner_at)
+            shares.plan(driver.router._clockwise, driver.router.ring.owner_at)
             expected = reference_shares(shares)
             got = {s.entry.server: f for s, f in shares.fair_shares().items()}
             assert got == pytest.approx(expected)
@@ -96,14 +96,14 @@
 
 
 def test_a_plan_examines_no_server_outside_reduced(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against 5 % of a core for examining each of 930 servers a dozen times, four times a second."""
-    d = Driver(CONF)
-    d.list(*(entry(f"s{i}") for i in range(300)))
+    """Examining each of 930 servers a dozen times, four times a second, took 5 % of a core."""
+    driver = Driver(SETTINGS)
+    driver.list(*(entry(f"s{i}") for i in range(300)))
     for n in range(400):
-        d.router.demand.add(n % 97)
-    shares = d.router.shares
+        driver.router.demand.add(n % 97)
+    shares = driver.router.shares
     looked_at: list[Server] = []
-    shares.cut_health(d.router.servers["s7"])
+    shares.cut_health(driver.router.servers["s7"])
     started = shares.started_at
 
     def looked(server: Server) -> float:
@@ -111,15 +111,15 @@
         return started(server)
 
     monkeypatch.setattr(shares, "started_at", looked)
-    shares.plan(d.router._clockwise, d.router.ring.owner_at)
+    shares.plan(driver.router._clockwise, driver.router.ring.owner_at)
     assert {s.entry.server for s in looked_at} <= {"s7"} and len(looked_at) < 100
 
 
 def test_a_watch_that_ends_without_changes_rebuilds_no_ring(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against a ring rebuilt for an empty answer: 11 ms with 930 servers, every three seconds."""
-    d = Driver(CONF)
-    d.list(*(entry(f"s{i}") for i in range(8)))
-    before = d.request("r1", key="k", finish=True)
-    monkeypatch.setattr(d.router, "_build_ring", None)
-    assert d.list(kind=api.ListKind.DELTA) == []
-    assert d.request("r2", key="k", finish=True) == before
+    """A ring rebuilt for each empty answer took 11 ms with 930 servers, every three seconds."""
+    driver = Driver(SETTINGS)
+    driver.list(*(entry(f"s{i}") for i in range(8)))
+    before = driver.request("r1", key="k", finish=True)
+    monkeypatch.setattr(driver.router, "_build_ring", None)
+    assert driver.list(kind=api.ListKind.DELTA) == []
+    assert driver.request("r2", key="k", finish=True) == before
--- a/tests/test_wirehost.py
+++ b/tests/test_wirehost.py
@@ -18,7 +18,7 @@
 from brackenwalk.wirehost import SimulatorHost, WireError
 
 ROOT = Path(__file__).parent.parent
-CONF: dict[str, Any] = {
+SETTINGS: dict[str, Any] = {
     "classes": [
         {"name": "read", "aim": 0.5, "giveUp": 2.0, "effect": "free", "value": 1.0},
         {"name": "pay", "aim": 1.0, "giveUp": 3.0, "effect": "guarded", "group": "zone", "repeatWindow": 5.0},
@@ -55,7 +55,7 @@
     commands = send_events(
         host,
         1.0,
-        {"op": "Born", "initSeed": 5, "conf": {**CONF, **changes}},
+        {"op": "Born", "initSeed": 5, "conf": {**SETTINGS, **changes}},
         {"op": "Membership", "scope": "SAVED", "generation": 1, "lines": lines},
     )
     if not changes:
@@ -80,23 +80,33 @@
 
 
 def test_settings_are_read() -> None:
-    conf = read_settings(CONF)
-    pay = conf.classes["pay"]
+    settings = read_settings(SETTINGS)
+    pay = settings.classes["pay"]
     assert (pay.retry_safety, pay.repeat_group, pay.repeat_window) == (
         api.RetrySafety.KEYED,
         api.RepeatGroup.ZONE,
         5.0,
     )
-    assert (conf.aside, conf.origin_kind, conf.subscribe, conf.resolution) == (True, "store", True, 0.01)
-    assert (conf.max_attempts, conf.second_copies, conf.may_cancel) == (3, True, True)
-    assert (conf.cold_share, conf.ramp, conf.overload_factor, conf.overload_window) == (0.2, 8.0, 3.0, 1.5)
+    assert (settings.aside, settings.origin_kind, settings.subscribe, settings.resolution) == (
+        True,
+        "store",
+        True,
+        0.01,
+    )
+    assert (settings.max_attempts, settings.second_copies, settings.may_cancel) == (3, True, True)
+    assert (settings.cold_share, settings.ramp, settings.overload_factor, settings.overload_window) == (
+        0.2,
+        8.0,
+        3.0,
+        1.5,
+    )
 
 
 def test_settings_defaults() -> None:
-    conf = read_settings({"classes": [{"name": "x"}]})
+    settings = read_settings({"classes": [{"name": "x"}]})
     # absent settings take the most careful value: no repeats, no second copies, one attempt
-    assert conf.classes["x"].retry_safety is api.RetrySafety.UNSAFE
-    assert (conf.second_copies, conf.may_cancel, conf.max_attempts) == (False, False, 1)
+    assert settings.classes["x"].retry_safety is api.RetrySafety.UNSAFE
+    assert (settings.second_copies, settings.may_cancel, settings.max_attempts) == (False, False, 1)
 
 
 @pytest.mark.parametrize(
@@ -116,7 +126,9 @@
 def test_unusable_settings_name_the_field(
     change: dict[str, Any], field: str, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    (fault,) = send_events(SimulatorHost(), 1.0, {"op": "Born", "initSeed": 1, "conf": {**CONF, **change}})
+    (fault,) = send_events(
+        SimulatorHost(), 1.0, {"op": "Born", "initSeed": 1, "conf": {**SETTINGS, **change}}
+    )
     assert fault["op"] == "InternalError" and field in fault["line"]
     assert field in capsys.readouterr().err
 
@@ -224,7 +236,7 @@
 
 def test_same_actions_under_any_hash_seed() -> None:
     lines = [list_line(f"s{i}") for i in range(6)] + [list_line("o", "store")]
-    news = [{"op": "Born", "initSeed": 5, "conf": CONF}]
+    news = [{"op": "Born", "initSeed": 5, "conf": SETTINGS}]
     news += [{"op": "Membership", "scope": "SAVED", "generation": 1, "lines": lines}]
     news += [request(f"{i:x}", partitionKey=f"k{i % 7}") for i in range(60)]
     news += [
