--- a/brackenwalk/demand.py
+++ b/brackenwalk/demand.py
@@ -43,7 +43,10 @@
 
 
 def encode_message(total: int, keys: list[tuple[int, int]], unhealthy: list[int], now: float) -> bytes:
-    """Return a message with the total of requests, counts by key, and unhealthy servers; empty if neither."""
+    """Return a message with the total of requests, counts by key, and unhealthy servers.
+
+    The message is empty if there are neither counts nor servers.
+    """
     entries = [KEY_ENTRY.pack(key, min(MAX_COUNT, count)) for key, count in keys]
     servers = [SERVER_ID.pack(server) for server in unhealthy[:MAX_SERVERS]]
     header = HEADER.pack(timestamp_of(now), total, len(entries))
@@ -51,7 +54,10 @@
 
 
 class DecayingCounts:
-    """Request counts by key, all halved whenever their total exceeds the window, a number of requests."""
+    """Request counts by key over a window of a number of requests.
+
+    When their total exceeds the window, all counts are halved, so older requests weigh less and less.
+    """
 
     def __init__(self, window: float) -> None:
         self.window = window  # requests per server
@@ -90,7 +96,7 @@
         self.unsent[key] += 1
 
     def share(self, key: int) -> float:
-        """Return the highest estimate of a key's share: the short window shows what has just turned hot."""
+        """Return the higher estimate of a key's share: the short window shows keys that just turned hot."""
         return max(self.history.share(key), self.recent.share(key))
 
     def message_size(self, servers: int) -> int:
@@ -123,7 +129,7 @@
         if len(body) < end or (len(body) - end) % SERVER_ID.size:
             self.invalid += 1
             return set()
-        # The machines' clocks are synchronized; a time slightly ahead of this clock counts as the present.
+        # The machines' clocks are synchronized, but a time sent may be slightly ahead of this one's clock.
         age = (timestamp_of(now) - sent_at + TIMESTAMP_RANGE // 2) % TIMESTAMP_RANGE - TIMESTAMP_RANGE // 2
         if abs(age) * TIMESTAMP_UNIT_S > self.max_age:
             self.stale += 1
--- a/brackenwalk/policy.py
+++ b/brackenwalk/policy.py
@@ -33,9 +33,9 @@
 # retries that each request adds to the budget: enough for one lost server, too few to feed an overload
 RETRY_SHARE = 0.2
 MAX_RETRY_BUDGET = 10.0  # unspent retries kept, enough to send all requests of a lost server again at once
-LOST_FACTOR = 8.0  # times the usual latency after which an answer counts as lost
-# shortest aims without any answer, after which a server counts as silent: longer than usual pauses, and soon
-# enough to send its requests elsewhere in time
+LOST_FACTOR = 8.0  # times the usual latency after which the router takes an answer for lost
+# shortest aims without any answer, after which a router takes a server for silent: longer than usual pauses,
+# and soon enough to send its requests elsewhere in time
 SILENT_AIMS = 1.0
 MAX_FAILURES = 3  # in a row, too many for chance; from then on there is one trial every SILENT_AIMS
 # of the idle time after which keeping a connection open has cost as much as a new handshake: the time that an
@@ -283,7 +283,7 @@
 
     def _on_request(self, request: api.Request) -> None:
         request_class = self.settings.classes.get(request.request_class)
-        if request_class is None:  # before it counts as demand, where it would displace keys that are sent
+        if request_class is None:  # never sent, so counted in the demand it would displace keys that are
             self.actions.append(api.Refuse(request.id))
             return
         deadline = min(
@@ -363,7 +363,7 @@
     def _send_copy(self, pending: PendingRequest, last: Attempt) -> None:
         """Send a second copy if the answer is long overdue and its server has answered a later send.
 
-        The request or its answer then counts as lost.
+        The router then takes the request or its answer for lost.
         """
         late = last.open and self.now >= last.copy_at - self.settings.resolution / 2
         if late:
--- a/brackenwalk/state.py
+++ b/brackenwalk/state.py
@@ -26,7 +26,7 @@
     latency: float = 0.0  # smoothed latency of its answers, in seconds
     latency_ratio: float = 0.0  # smoothed latency over target latency, as a single answer says little
     unanswered_since: float = math.inf  # first send after its latest answer
-    last_answered_send_at: float = -math.inf  # the latest send that has been answered
+    last_answered_send_at: float = -math.inf  # time of the latest send that has been answered
     used_at: float = 0.0  # latest end of an attempt
     check_at: float = math.inf  # when the pending timer will check its idle connections
     failures: int = 0  # in a row
--- a/tests/test_ring.py
+++ b/tests/test_ring.py
@@ -245,7 +245,7 @@
         s.in_flight, s.unanswered_since = 1, driver.now - 5.0
     looked: list[object] = []
     eligible = driver.router._eligible
-    driver.router._eligible = lambda held, server: looked.append(server) or eligible(held, server)  # type: ignore[method-assign,func-returns-value]
+    driver.router._eligible = lambda pending, server: looked.append(server) or eligible(pending, server)  # type: ignore[method-assign,func-returns-value]
     assert driver.request("r", key="k") is None and driver.ended["r"] == "refused"
     assert 0 < len(looked) <= policy.MAX_WALK_NODES
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -368,15 +368,15 @@
 class Resender(Router):
     """Broken on purpose: retries every request, even an unsafe one."""
 
-    def _permits(self, req: Any, server: Any) -> bool:
+    def _permits(self, pending: Any, server: Any) -> bool:
         return True
 
 
 class TimerDropper(Router):
     """Broken on purpose: sets no timers for queued requests."""
 
-    def _enqueue(self, req: Any) -> None:
-        super()._enqueue(req)
+    def _enqueue(self, pending: Any) -> None:
+        super()._enqueue(pending)
         self.actions = [a for a in self.actions if not isinstance(a, api.SetTimer)]
 
 
