--- a/brackenwalk/__main__.py
+++ b/brackenwalk/__main__.py
@@ -53,7 +53,7 @@
 
 
 def read_address(table: dict[str, Any], field: str) -> str:
-    """Returns a field of the form host:port; raises `ConfigError`."""
+    """Return a field of the form host:port. Raises `ConfigError` if it has another form."""
     value = table.get(field)
     host, _, port = value.rpartition(":") if isinstance(value, str) else ("", "", "")
     if not host or not port.isdigit() or int(port) > 65535:
@@ -62,7 +62,7 @@
 
 
 def read_config(text: bytes) -> Config:
-    """Parses a JSON configuration; raises `ConfigError` naming the field that cannot be used."""
+    """Parse a JSON configuration. Raises `ConfigError`, which names the field, if it cannot be used."""
     try:
         table = orjson.loads(text)
     except orjson.JSONDecodeError as e:
@@ -86,9 +86,10 @@
 
 
 def read_peers(table: dict[str, Any]) -> tuple[str | None, list[str], str]:
-    """Returns the address to receive from peers, the peers' addresses, and the address that reaches them all.
+    """Return the address to receive from peers, the peers' addresses, and the address that reaches them all.
 
-    Without `peer_listen` there are no peers. Raises `ConfigError`.
+    Without `peer_listen` there are no peers. Raises `ConfigError`, which names the field, if an address is
+    malformed.
     """
     if table.get("peer_listen") is None:
         return None, [], ""
@@ -100,7 +101,7 @@
 
 
 def read_file(path: str) -> bytes:
-    """Returns the contents of the configuration file; raises `ConfigError` if it cannot be read."""
+    """Return the contents of the configuration file. Raises `ConfigError` if it cannot be read."""
     try:
         return Path(path).read_bytes()
     except OSError as e:
@@ -108,7 +109,7 @@
 
 
 def reload_config(path: str, discovery: DiscoveryClient, host: Host) -> None:
-    """Applies the one field that SIGHUP reloads, the address of discovery; ignores an invalid file."""
+    """Apply the one field that SIGHUP reloads, the address of discovery; ignore an invalid file."""
     try:
         config = read_config(read_file(path))
     except ConfigError as e:
@@ -120,7 +121,7 @@
 
 
 async def serve(path: str) -> None:
-    """Serves until SIGTERM or SIGINT, then until the accepted requests are answered."""
+    """Serve until SIGTERM or SIGINT, then until the accepted requests are answered."""
     config = read_config(read_file(path))
     settings = config.settings
     budget = config.sockets - RESERVED_DESCRIPTORS
@@ -137,7 +138,9 @@
     )
     host.on_server_list(api.ListKind.SAVED, config.known)
     if not settings.subscribe:
-        discovery.subscribe()  # the module does not subscribe to pushed lists, which come by the same calls
+        # In this mode the module expects lists to be pushed and does not subscribe; here they come by the
+        # same watch.
+        discovery.subscribe()
     peers = None
     if config.peer_listen is not None:
         peers = PeerSocket(config.peer_listen, config.peers, config.peers_all, host.on_peer_message)
@@ -174,7 +177,7 @@
 
 
 def main() -> int:
-    """Runs one router. Returns the exit code, 2 if the configuration cannot be used."""
+    """Run one router and return the exit code, 2 if the configuration cannot be used."""
     logging.basicConfig(level=logging.INFO, format="%(asctime)s %(levelname)s %(message)s")
     path = os.environ.get("RELAY_CONFIG", "")
     try:
--- a/brackenwalk/net/clients.py
+++ b/brackenwalk/net/clients.py
@@ -13,7 +13,7 @@
 
 from brackenwalk.net.command import MAX_INFO_BYTES, MAX_KEY_BYTES, MAX_VALUE_BYTES, CommandError, read_command
 from brackenwalk.net.host import Host
-from brackenwalk.net.pool import peer_closed, readable
+from brackenwalk.net.pool import readable, remote_closed
 from brackenwalk.net.resp import INCOMPLETE, Reader
 
 # Limit on the bytes of an incomplete command.
@@ -23,9 +23,10 @@
 # that sends hundreds at once delays the responses to all others, and every timer that is due in that turn.
 MAX_COMMANDS_PER_TURN = 32
 PARSE_CHUNK_BYTES = 4096  # limit on the bytes parsed at once, for the same reason
-FIRST_COMMAND_TIMEOUT_S = 2.5  # for a first valid command: an error line or a close is due within 3 s
+# Time for a client to send its first valid command. Without one, an error line or a close is due within 3 s.
+FIRST_COMMAND_TIMEOUT_S = 2.5
 LINGER_S = 1.0  # time for a client to close a connection that the router has half-closed
-LINGER_UNSENT_S = 10.0  # the same while the client has not yet read all its responses
+LINGER_UNSENT_S = 10.0  # the same for a client that has not yet read all its responses
 LINGER_READ_BYTES = 1 << 20  # limit on the bytes read and discarded while lingering
 STALL_TIMEOUT_S = 2.0  # time without a byte after which an incomplete command no longer keeps its connection
 ERR_COMMAND_TIMEOUT = "-ERR no command came in time"
@@ -39,16 +40,16 @@
     lingering: dict[ClientConnection, None]
 
     def mark_idle(self, connection: ClientConnection) -> None:
-        """Records that a connection has no response outstanding."""
+        """Record that a connection has no response outstanding."""
 
     def start_lingering(self, connection: ClientConnection) -> None:
-        """Records that the router has half-closed a connection and the client has not closed it yet."""
+        """Record that the router has half-closed a connection and the client has not closed it yet."""
 
     def watch_for_disconnect(self, connection: ClientConnection) -> None:
-        """Starts polling for a disconnect of a client while reading from it is paused."""
+        """Start polling for a disconnect of a client while reading from it is paused."""
 
     def remove(self, connection: ClientConnection) -> None:
-        """Removes a closed connection."""
+        """Remove a closed connection."""
 
 
 @dataclass(slots=True, eq=False)
@@ -65,7 +66,7 @@
     def __init__(self, host: Host, registry: ConnectionRegistry) -> None:
         self.host = host
         self.registry = registry
-        # Without simple strings: hiredis returns one as bytes, indistinguishable from a bulk string.
+        # Simple strings are not allowed: hiredis returns one as bytes, indistinguishable from a bulk string.
         self.reader = Reader(element_types=b":-$")
         self.incomplete_bytes = 0  # received by the parser since the last complete command
         self.unparsed = b""  # received, but not passed to the parser yet
@@ -79,7 +80,7 @@
         self.discarded_bytes = 0  # received after the router's half-close
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Registers the connection and starts the timer for its first command."""
+        """Register the connection and start the timer for its first command."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
         self.registry.connections[self] = None
@@ -89,8 +90,9 @@
         )
 
     def data_received(self, data: bytes) -> None:
-        """Buffers and processes commands; discards what arrives while the connection closes."""
-        # Discards commands that cross the half-close: the client sees the end of the stream, not a response.
+        """Buffer and process commands; discard all input while the connection closes."""
+        # A command that crosses the half-close is discarded: its client sees the end of the stream and can
+        # send it again on another connection.
         if self in self.registry.lingering:
             self.discarded_bytes += len(data)
             if self.discarded_bytes > LINGER_READ_BYTES:
@@ -105,11 +107,12 @@
         self._process_commands()
 
     def _process_commands(self) -> None:
-        """Processes received commands, as many as one turn of the event loop allows one client."""
+        """Process received commands, up to the limit for one connection in one turn of the event loop."""
         try:
             more = self._process_batch()
         except Exception:
-            # Guards the router: an error here ends this connection alone, and its requests are closed.
+            # An error here ends this connection and its requests, and no other. The connection would
+            # otherwise stay open, with requests that never get a response.
             log.exception("client connection failed and is closed: please report this trace")
             self.transport.abort()
             return
@@ -118,7 +121,7 @@
         self._update_reading()
 
     def _process_batch(self) -> bool:
-        """Processes one turn's commands. Returns whether more may be waiting that could be processed now."""
+        """Process one turn's commands. Return whether more may be waiting that could be processed now."""
         for _ in range(MAX_COMMANDS_PER_TURN):
             # A closing connection accepts nothing more: its client's disconnect would not be noticed again,
             # and the request would be processed until its deadline.
@@ -137,7 +140,7 @@
         return True
 
     def _next_command(self) -> object:
-        """Returns the next command's parts, or INCOMPLETE. Gives the parser no more chunks than needed."""
+        """Return the next command's parts, or INCOMPLETE. Give the parser no more chunks than needed."""
         while (
             (parts := self.reader.gets()) is INCOMPLETE
             and self.unparsed
@@ -176,12 +179,12 @@
         if not self.slots:
             self.registry.mark_idle(self)
         if self.closing and not self.slots:
-            self.close()
+            self.close_gracefully()
         elif not self.reading:
             self._schedule_resume()
 
     def close_with_error(self, error: str) -> None:
-        """Sends an error line and closes the connection, as the start of the next command is unknown."""
+        """Send an error line and close the connection, as the start of the next command is unknown."""
         self.closing = True
         self.unparsed = b""
         slot = Slot()
@@ -189,59 +192,59 @@
         self._respond(slot, error.encode("ascii", "replace").replace(b"\r\n", b" ") + b"\r\n")
 
     def _accepts_commands(self) -> bool:
-        """Returns whether one more command may be processed now."""
+        """Return whether one more command may be processed now."""
         return not self.closing and self.writable and len(self.slots) < MAX_PIPELINED
 
     def _update_reading(self) -> None:
-        """Pauses reading while too many responses are outstanding, to bound the memory a client can use."""
+        """Pause reading while too many responses are outstanding, to bound the memory a client can use."""
         if self in self.registry.lingering:
             return
-        wanted = self._accepts_commands() and self.resume_handle is None
-        if wanted != self.reading and not self.transport.is_closing():
-            self.reading = wanted
-            (self.transport.resume_reading if wanted else self.transport.pause_reading)()
-            if not wanted:
+        should_read = self._accepts_commands() and self.resume_handle is None
+        if should_read != self.reading and not self.transport.is_closing():
+            self.reading = should_read
+            (self.transport.resume_reading if should_read else self.transport.pause_reading)()
+            if not should_read:
                 self.registry.watch_for_disconnect(self)
 
     def check_client(self) -> bool:
-        """Detects a disconnect of the client, even one that the event loop has not processed yet.
+        """Detect a disconnect of the client, even one that the event loop has not processed yet.
 
-        Returns whether the client has disconnected.
+        Return whether the client has disconnected.
         """
-        disconnected = not self.transport.is_closing() and peer_closed(self.transport)
+        disconnected = not self.transport.is_closing() and remote_closed(self.transport)
         if disconnected:
             self.on_disconnect()
         return disconnected
 
     def _schedule_resume(self) -> None:
-        """Schedules deferred commands for the next turn of the event loop, once however often called."""
+        """Schedule deferred commands for the next turn of the event loop, unless they already are."""
         if self.resume_handle is None:
             self.resume_handle = asyncio.get_running_loop().call_soon(self._resume)
 
     def _resume(self) -> None:
-        """Processes deferred commands, unless their client has disconnected in the meantime."""
+        """Process deferred commands, unless their client has disconnected in the meantime."""
         self.resume_handle = None
         if not self.check_client():
             self._process_commands()
 
     def pause_writing(self) -> None:
-        """Stops accepting commands while the client does not read its responses."""
+        """Stop accepting commands while the client does not read its responses."""
         self.writable = False
         self._update_reading()
 
     def resume_writing(self) -> None:
-        """Accepts commands again, deferred ones first."""
+        """Accept commands again, deferred ones first."""
         self.writable = True
         self._schedule_resume()
 
     def is_idle(self) -> bool:
-        """Returns whether no response is outstanding and no byte of a further command has arrived."""
+        """Return whether no response is outstanding and no byte of a further command has arrived."""
         if self.slots or self.incomplete_bytes or self.unparsed or self.transport.is_closing():
             return False
         return not readable(self.transport)
 
     def is_stalled(self) -> bool:
-        """Returns whether it waits only for an incomplete command, of which no more bytes are coming."""
+        """Return whether it only waits for the rest of a command, of which no bytes are coming."""
         if (
             self.slots
             or not self.incomplete_bytes
@@ -254,11 +257,11 @@
         return silence > STALL_TIMEOUT_S and not readable(self.transport)
 
     def has_unsent(self) -> bool:
-        """Returns whether responses are still in the write buffer, as the client has not read them."""
+        """Return whether responses are still in the write buffer, as the client has not read them."""
         return self.transport.get_write_buffer_size() > 0
 
-    def close(self) -> None:
-        """Closes the connection with a linger: half-closes it once all is written, then discards input.
+    def close_gracefully(self) -> None:
+        """Half-close the connection once all is written, then discard input until the client closes it.
 
         Closing a socket with unread bytes makes the kernel send a reset, which can destroy the last response
         before the client reads it.
@@ -289,16 +292,16 @@
             self.abort()
 
     def abort(self) -> None:
-        """Closes the connection at once, discarding unsent responses."""
+        """Close the connection at once, discarding unsent responses."""
         self.transport.abort()
         self.registry.remove(self)
 
     def eof_received(self) -> None:
-        """Treats a half-close as a disconnect."""
+        """Treat a half-close as a disconnect."""
         self.on_disconnect()
 
     def on_disconnect(self) -> None:
-        """Aborts the connection after a disconnect; a plain close would wait for unsent responses."""
+        """Abort the connection after a disconnect; a plain close would wait for unsent responses."""
         self.abort()
         self._abandon_requests()
 
@@ -309,7 +312,7 @@
                 self.host.on_client_gone(slot.request_id)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Cancels the timers and reports the client's open requests as abandoned."""
+        """Cancel the timers and report the client's open requests as abandoned."""
         self.registry.remove(self)
         self.first_command_timer.cancel()
         if self.linger_timer is not None:
--- a/brackenwalk/net/command.py
+++ b/brackenwalk/net/command.py
@@ -36,14 +36,14 @@
         return self.value is not None
 
     def encode_info(self, time_left: float) -> bytes:
-        """Returns the names and values in their order, with `d` set to `time_left` (in seconds) as ms."""
+        """Return the names and values in their order, with `d` set to `time_left` (in seconds) as ms."""
         fields = self.info | {"d": str(max(1, int(time_left * 1000)))}
         return ",".join(f"{name}={value}" for name, value in fields.items()).encode()
 
 
 def read_info(text: bytes) -> dict[str, str]:
-    """Parses the list of names and values behind the request id; raises `CommandError`."""
-    # Guards the origin: a line break would be passed on as the start of another header or request.
+    """Parse the list of names and values behind the request id. Raises `CommandError` if it is malformed."""
+    # A line break passed on to the origin would start another header or another request.
     if len(text) > MAX_INFO_BYTES or not VISIBLE_ASCII.fullmatch(text):
         raise CommandError("names and values must be visible ASCII, 1024 bytes at most")
     info: dict[str, str] = {}
@@ -56,7 +56,7 @@
 
 
 def read_command(parts: object) -> Command:
-    """Returns the command of a parsed RESP2 message; raises `CommandError`."""
+    """Return the command of a parsed RESP2 message. Raises `CommandError` if it is invalid."""
     if not isinstance(parts, list) or not all(isinstance(p, bytes) for p in parts) or not parts:
         raise CommandError("a command is an array of bulk strings")
     verb = parts[0].upper()
--- a/brackenwalk/net/discovery.py
+++ b/brackenwalk/net/discovery.py
@@ -22,17 +22,20 @@
     "terminated": api.ServerState.GONE,
 }
 MAX_LIST_BYTES = 4 * 1024 * 1024
-# Time for which a watch asks discovery to wait for a change. With the margin a silent call is given up after
-# 5 s: a change counts as delivered to the routers after 6 s, and the next call takes time as well.
+# Time for which a watch asks discovery to wait for a change. With the margin below, a call without a
+# response fails after 5 s. By the requirements a change counts as delivered to the routers after 6 s, and the
+# next call takes time as well.
 WATCH_WAIT_S = 3.0
 RESPONSE_MARGIN_S = 2.0  # time for which discovery may queue a call before it starts to wait
 # Pause after a response with no change, so that an agent that never waits is not called in a busy loop. A
-# call later than 200 ms after the previous response would count as a new watch and be queued behind others.
+# call later than 200 ms after the previous response would be taken for a new watch and queued behind others.
 EMPTY_RESPONSE_PAUSE_S = 0.05
-# For the connection alone, which discovery does not queue. One that is never accepted would otherwise take
-# most of the time after which a change counts as delivered. The kernel resends a lost SYN only after 1 s.
+# Time for the connection alone, which does not wait in discovery's queue. One that is never established would
+# otherwise take most of the 6 s after which a change counts as delivered. The kernel resends a lost SYN only
+# after 1 s.
 DIAL_TIMEOUT_S = 1.0
-PROBE_WAIT_S = 0.001  # wait of the first watch at another discovery, whose index may have started over
+# Wait of the first watch at another discovery, whose index may have started over.
+PROBE_WAIT_S = 0.001
 log = logging.getLogger(__name__)
 
 
@@ -40,50 +43,50 @@
     """A list or response that cannot be used; the message names the field."""
 
 
-def read_field(table: dict[str, Any], name: str, types: type | tuple[type, ...], where: str) -> Any:
-    """Returns a field if it has one of the given types; raises `ListError` naming it under `where`."""
+def read_field(table: dict[str, Any], name: str, types: type | tuple[type, ...], path: str) -> Any:
+    """Return a field. Raises `ListError`, which names it under `path`, if it has none of the given types."""
     value = table.get(name)
     if not isinstance(value, types) or (isinstance(value, bool) and types is not bool):
-        raise ListError(f"{where}{name} is missing or malformed: {str(value)[:40]}")
+        raise ListError(f"{path}{name} is missing or malformed: {str(value)[:40]}")
     return value
 
 
-def read_member(line: Any, where: str) -> Member:
-    """Parses one entry of a list; raises `ListError` naming the field under `where`."""
-    if not isinstance(line, dict):
-        raise ListError(f"{where} is not an object")
-    where += "."
-    state = read_field(line, "status", str, where)
+def read_member(row: Any, path: str) -> Member:
+    """Parse one entry of a list. Raises `ListError`, which names a malformed field under `path`."""
+    if not isinstance(row, dict):
+        raise ListError(f"{path} is not an object")
+    path += "."
+    state = read_field(row, "status", str, path)
     if state not in STATES:
-        raise ListError(f"{where}status is unknown: {state[:40]}")
-    address = read_field(line, "address", str, where)
+        raise ListError(f"{path}status is unknown: {state[:40]}")
+    address = read_field(row, "address", str, path)
     host, _, port = address.rpartition(":")
     if not host or not port.isdigit() or not 0 < int(port) < 65536:
-        raise ListError(f"{where}address is not host:port: {address[:40]}")
+        raise ListError(f"{path}address is not host:port: {address[:40]}")
     entry = api.ServerEntry(
-        server=read_field(line, "name", str, where),
+        server=read_field(row, "name", str, path),
         state=STATES[state],
-        kind=read_field(line, "type", str, where),
-        zone=read_field(line, "zone", str, where),
-        cell=read_field(line, "group", int, where),
-        weight=max(0.0, read_field(line, "weight", (int, float), where)),
+        kind=read_field(row, "type", str, path),
+        zone=read_field(row, "zone", str, path),
+        cell=read_field(row, "group", int, path),
+        weight=max(0.0, read_field(row, "weight", (int, float), path)),
         # Unix time in seconds, as the host's clock.
-        started_at=read_field(line, "since_ms", (int, float), where) / 1000,
+        started_at=read_field(row, "since_ms", (int, float), path) / 1000,
     )
     return Member(entry, address)
 
 
-def read_list(message: Any, where: str = "") -> tuple[int, bool, list[Member]]:
-    """Returns a list's index, whether it is a full list (else changes), and its entries.
+def read_list(message: Any, path: str = "") -> tuple[int, bool, list[Member]]:
+    """Return a list's index, whether it is a full list (else changes), and its entries.
 
-    Raises `ListError` naming the field under `where`.
+    Raises `ListError`, which names the field under `path`, if one is missing or malformed.
     """
     if not isinstance(message, dict):
-        raise ListError(f"{where or 'list'} is not an object")
-    where += "." if where else ""
-    lines = read_field(message, "endpoints", list, where)
-    members = [read_member(line, f"{where}endpoints[{i}]") for i, line in enumerate(lines)]
-    return read_field(message, "index", int, where), read_field(message, "snapshot", bool, where), members
+        raise ListError(f"{path or 'list'} is not an object")
+    path += "." if path else ""
+    rows = read_field(message, "endpoints", list, path)
+    members = [read_member(row, f"{path}endpoints[{i}]") for i, row in enumerate(rows)]
+    return read_field(message, "index", int, path), read_field(message, "snapshot", bool, path), members
 
 
 class DiscoveryClient:
@@ -108,7 +111,7 @@
         self.watch_task: asyncio.Task[None] | None = None
 
     def subscribe(self) -> None:
-        """Starts a watch unless one is running; replaces one that still waits at a previous address."""
+        """Start a watch unless one is running; replace one that still waits at a previous address."""
         if self.watch_task is not None and self.called_address != self.address:
             self.watch_task.cancel()
             self.watch_task = None
@@ -116,7 +119,7 @@
             self.watch_task = asyncio.create_task(self._run_watch())
 
     def set_address(self, address: str) -> bool:
-        """Sets the address for the next call on. Returns whether it has changed."""
+        """Set the address from the next call on, and return whether it has changed."""
         changed, self.address = address != self.address, address
         self.index_valid = self.index_valid and not changed
         return changed
@@ -139,7 +142,8 @@
                 if not members:
                     await asyncio.sleep(EMPTY_RESPONSE_PAUSE_S)
         except Exception as e:
-            # Guards the list: the module subscribes again only when told of the failure, whatever it was.
+            # Whatever the failure, it is reported: the module only then subscribes again, and would otherwise
+            # keep its old list for ever.
             known = isinstance(e, (OSError, HttpError, ListError, orjson.JSONDecodeError))
             level, elapsed = logging.WARNING if known else logging.ERROR, time.monotonic() - started_at
             log.log(
@@ -152,8 +156,8 @@
         self.on_failure()
 
     async def _call(self, query: str, wait: float = 0.0) -> tuple[int, bool, list[Member]]:
-        # Guards against a discovery that has stopped responding: its changes soon count as delivered, and the
-        # call must fail early enough for another one.
+        # A call to a discovery that has stopped responding must fail early enough for another one, before
+        # the changes that it has not reported count as delivered to this router.
         self.called_address = self.address
         async with asyncio.timeout(wait + RESPONSE_MARGIN_S):
             async with asyncio.timeout(DIAL_TIMEOUT_S):
@@ -172,6 +176,6 @@
         return read_list(orjson.loads(response.body))
 
     def close(self) -> None:
-        """Cancels the watch, without a call of `on_failure`."""
+        """Cancel the watch, without a call of `on_failure`."""
         if self.watch_task is not None:
             self.watch_task.cancel()
--- a/brackenwalk/net/host.py
+++ b/brackenwalk/net/host.py
@@ -20,8 +20,8 @@
 from brackenwalk.policy import Router
 
 # Time by which a request's deadline here precedes the client's, which counts from when the client sends.
-# Measured: the network takes at most 1.3 ms in each direction, this process 1.4 ms at the 99th percentile.
-# The rest covers a core that other processes keep busy.
+# The network takes at most 1.3 ms in each direction, this process 1.4 ms at the 99th percentile; the rest
+# covers delays on a core that other processes keep busy.
 DEADLINE_MARGIN_S = 0.02
 ERR_FAILED = b"-ERR failed\r\n"
 log = logging.getLogger(__name__)
@@ -34,7 +34,7 @@
         self.offset = time.time() - time.monotonic()
 
     def now(self) -> float:
-        """Returns the Unix time in seconds."""
+        """Return the Unix time in seconds."""
         return self.offset + time.monotonic()
 
 
@@ -92,7 +92,7 @@
         self.handling = False
 
     def post(self, event: api.Event) -> None:
-        """Passes an event to the module. Events posted while actions are carried out are queued."""
+        """Pass an event to the module. Events posted while actions are carried out are queued."""
         self.events.append(event)
         if self.handling:
             return
@@ -105,16 +105,16 @@
             self.handling = False
 
     def _decide(self, event: api.Event) -> list[api.Action]:
-        """Returns the module's actions or, if the module raises, those that it had decided on by then."""
+        """Return the module's actions or, if the module raises, those that it had decided on by then."""
         try:
             return self.router.handle(self.clock.now(), event)
         except Exception:
-            # Guards the other requests: the events queued behind this one belong to them.
+            # Events of other requests may be queued behind this one, and would not be handled otherwise.
             log.exception("decision module failed on %s: please report this trace", type(event).__name__)
             return list(self.router.actions)
 
     def _execute_isolated(self, action: api.Action) -> None:
-        """Carries out an action. Logs errors, so that the actions behind it, maybe responses, still run."""
+        """Carry out an action; log errors, so that the next actions, which may be responses, still run."""
         try:
             self._execute(action)
         except Exception:
@@ -146,19 +146,19 @@
     # Server list
 
     def ready(self) -> bool:
-        """Returns whether the list has a cache server that accepts new requests."""
+        """Return whether the list has a cache server that accepts new requests."""
         return any(m.entry.ready and not self._is_origin(m) for m in self.members.values())
 
     def on_list_failed(self) -> None:
-        """Reports to the module that a call to discovery failed."""
+        """Report to the module that a call to discovery failed."""
         self.post(api.ServerList(api.ListKind.FAILED))
 
     def on_discovery_moved(self) -> None:
-        """Reports to the module that the address of discovery has changed."""
+        """Report to the module that the address of discovery has changed."""
         self.post(api.ServerList(api.ListKind.MOVED))
 
     def on_server_list(self, kind: api.ListKind, members: list[Member]) -> None:
-        """Applies a full list or changes, and aborts unsent attempts at servers that have changed."""
+        """Apply a full list or changes, and abort unsent attempts at servers that have changed."""
         if kind is not api.ListKind.DELTA:
             self.members = {}
         for member in members:
@@ -170,8 +170,8 @@
         self.post(api.ServerList(kind, tuple(m.entry for m in members)))
         for tracked in list(self.requests.values()):
             for attempt in list(tracked.attempts.values()):
-                # Guards drains: a connection that is still being dialled would send its request once it is
-                # up, after the time from which nothing may go to the server any more.
+                # A connection that is still being dialled would send its request once it is established. That
+                # may be after the time from which no request may go to a draining server.
                 if (
                     attempt.exchange is not None
                     and attempt.exchange.unsent()
@@ -180,12 +180,12 @@
                     self._abort_attempt(tracked, attempt, api.Status.UNSENT)
 
     def _server_changed(self, attempt: Attempt) -> bool:
-        """Returns whether the attempt's server now drains, has left the list, has moved or has restarted."""
-        then = attempt.member
-        now = self.members.get(then.entry.server) if then is not None else None
-        if then is None or now is None or not now.entry.ready:
+        """Return whether the attempt's server now drains, has left the list, has moved or has restarted."""
+        previous = attempt.member
+        current = self.members.get(previous.entry.server) if previous is not None else None
+        if previous is None or current is None or not current.entry.ready:
             return True
-        return (now.entry.started_at, now.address) != (then.entry.started_at, then.address)
+        return (current.entry.started_at, current.address) != (previous.entry.started_at, previous.address)
 
     def _is_origin(self, member: Member) -> bool:
         return self.settings.aside and member.entry.kind == self.settings.origin_kind
@@ -194,7 +194,7 @@
         return self.origin if self._is_origin(self.members[server]) else self.servers
 
     def on_peer_message(self, content: bytes) -> None:
-        """Passes a peer's message to the module."""
+        """Pass a peer's message to the module."""
         self.post(api.PeerMessage(content))
 
     # Requests
@@ -205,24 +205,24 @@
         respond: Callable[[bytes], None],
         check_client: Callable[[], object] = lambda: None,
     ) -> str | None:
-        """Accepts a request and calls `respond` once with its response, unless the client disconnects first.
+        """Accept a request and call `respond` once with its response, unless the client disconnects first.
 
-        Returns the request's id, or None if a request with this id is still in the table. Calls
+        Return the request's id, or None if a request with this id is still in the table. Call
         `check_client` before each attempt; it calls `on_client_gone` if the client has just disconnected.
         """
-        request_id = command.request_id.decode()
-        # Guards the table: two requests under one id would get each other's responses.
-        if request_id in self.requests:
+        decoded_id = command.request_id.decode()
+        # Two requests under one id would get each other's responses.
+        if decoded_id in self.requests:
             return None
         now = self.clock.now()
         time_left = max(
             0.0, min(command.deadline_ms / 1000 - DEADLINE_MARGIN_S, self.shutdown_deadline - now)
         )
-        tracked = self.requests[request_id] = TrackedRequest(command, now + time_left, respond, check_client)
-        tracked.timer = asyncio.get_running_loop().call_later(time_left, self._on_deadline, request_id)
+        tracked = self.requests[decoded_id] = TrackedRequest(command, now + time_left, respond, check_client)
+        tracked.timer = asyncio.get_running_loop().call_later(time_left, self._on_deadline, decoded_id)
         hint = command.info.get("h", "")
         request = api.Request(
-            request_id,
+            decoded_id,
             command.info.get("c", ""),
             time_left,
             command.key.decode("latin-1"),
@@ -230,17 +230,17 @@
             command.write,
         )
         self.post(request)
-        return request_id
+        return decoded_id
 
     def on_client_gone(self, request_id: str) -> None:
-        """Closes a request whose client has disconnected."""
+        """Close a request whose client has disconnected."""
         tracked = self.requests.get(request_id)
         if tracked is not None and not tracked.closed:
             self._mark_closed(tracked, request_id)
             self.post(api.ClientGone(request_id))
 
     def begin_shutdown(self, time_left: float) -> None:
-        """Limits all deadlines to `time_left` seconds from now, as no response can be sent after exit."""
+        """Limit all deadlines to `time_left` seconds from now, as no response can be sent after exit."""
         self.shutdown_deadline = self.clock.now() + time_left
         for request_id, tracked in self.requests.items():
             if tracked.deadline > self.shutdown_deadline and tracked.timer is not None:
@@ -252,7 +252,7 @@
         self.post(api.Shutdown(time_left))
 
     def _on_deadline(self, request_id: str) -> None:
-        """Times out the attempts in flight, and drops a closed request from the table."""
+        """Time out the attempts in flight, and drop a closed request from the table."""
         tracked = self.requests[request_id]
         tracked.deadline_passed = True
         if tracked.closed:
@@ -260,21 +260,21 @@
         for attempt in list(tracked.attempts.values()):  # the module may respond, and so close it, in between
             self._time_out(tracked, attempt)
         if not tracked.closed:
-            # Guards the client against a fault of this router: after the deadline no event is left that would
-            # lead to a response, and the client would wait for good.
+            # Only a fault of the module leads here. After the deadline no event is left that would lead to a
+            # response, and the client would wait for ever.
             log.error("request %s: the decision module gave no response by the deadline; failed", request_id)
             self._respond(request_id, ERR_FAILED)
             self.post(api.ClientGone(request_id))
 
     def _respond(self, request_id: str, response: bytes) -> None:
-        """Sends the response to a request, unless the request is closed."""
+        """Send the response to a request, unless the request is closed."""
         tracked = self.requests.get(request_id)
         if tracked is not None and not tracked.closed:
             self._mark_closed(tracked, request_id)
             tracked.respond(response)
 
     def _mark_closed(self, tracked: TrackedRequest, request_id: str) -> None:
-        """Closes a request, which stays in the table until its deadline for outcomes still to come."""
+        """Close a request, which stays in the table until its deadline for outcomes still to come."""
         tracked.closed = True
         for attempt in list(tracked.attempts.values()):
             # An unsent attempt needs no cancelling at its server, and nobody waits for its result.
@@ -284,7 +284,7 @@
             del self.requests[request_id]
 
     def _refuse(self, action: api.Refuse) -> None:
-        """Responds with a refusal, and with the time in ms after which to retry if the module gives one."""
+        """Respond with a refusal, and with a pause in ms before a retry if the module gives one."""
         pause = math.ceil(action.retry_after * 1000)
         self._respond(action.request_id, b"-BUSY %d\r\n" % pause if pause else b"-BUSY\r\n")
 
@@ -299,13 +299,13 @@
         attempt = Attempt(tracked.attempt_count, now)
         tracked.attempt_count += 1
         tracked.attempts[attempt.number] = attempt
-        # Guards against attempts for a client that has left: its disconnect and the event that leads to this
-        # send may come in one turn of the event loop, in any order.
+        # A client's disconnect and the event that leads to this send may come in one turn of the event loop,
+        # in any order. Without this check, an attempt could start for a client that has disconnected.
         if not tracked.closed:
             tracked.check_client()
-        useless = tracked.closed or tracked.deadline_passed or attempt.number >= self.settings.max_attempts
-        if useless or action.server not in self.members:
-            self._finish(tracked, attempt, api.Status.UNSENT if useless else api.Status.CONNECT_FAILED)
+        unneeded = tracked.closed or tracked.deadline_passed or attempt.number >= self.settings.max_attempts
+        if unneeded or action.server not in self.members:
+            self._finish(tracked, attempt, api.Status.UNSENT if unneeded else api.Status.CONNECT_FAILED)
             return
         time_left = tracked.deadline - now
         if action.timeout is not None and action.timeout < time_left:
@@ -337,13 +337,13 @@
     def _finish(
         self, tracked: TrackedRequest, attempt: Attempt, status: api.Status, value: bytes = b""
     ) -> None:
-        """Reports the outcome of an attempt once. The first successful attempt answers the client."""
+        """Report the outcome of an attempt once. The first successful attempt answers the client."""
         if tracked.attempts.pop(attempt.number, None) is None:
             return
         if attempt.timer is not None:
             attempt.timer.cancel()
-        request_id = tracked.command.request_id.decode()
+        decoded_id = tracked.command.request_id.decode()
         if status is api.Status.OK:
-            self._respond(request_id, b"$%d\r\n%b\r\n" % (len(value), value))
+            self._respond(decoded_id, b"$%d\r\n%b\r\n" % (len(value), value))
         latency = self.clock.now() - attempt.sent_at
-        self.post(api.Outcome(request_id, attempt.number, status, tracked.closed, latency))
+        self.post(api.Outcome(decoded_id, attempt.number, status, tracked.closed, latency))
--- a/brackenwalk/net/http.py
+++ b/brackenwalk/net/http.py
@@ -11,9 +11,9 @@
 MAX_INFORMATIONAL = 16  # limit on the informational responses before the final one
 # Bytes of a head or of chunks passed to h11 at once, as h11 copies all bytes not yet read at each event.
 FEED_BYTES = 4096
-# The grammar of heads and chunk headers. Guards against reading a head or body with another end than the
-# sender's: h11 also accepts line ends without CR, folded lines, other versions, control characters and chunk
-# extensions of any form (RFC 9112, sections 2.2, 4, 5 and 7.1).
+# The grammar of heads and chunk headers. h11 also accepts line ends without CR, folded lines, other
+# versions, control characters and chunk extensions of any form (RFC 9112, sections 2.2, 4, 5 and 7.1). With
+# these, a head or body read here could end elsewhere than the sender's.
 TEXT = rb"[\t \x21-\x7e\x80-\xff]"
 TOKEN = rb"[!#$%&'*+.^_`|~0-9A-Za-z-]+"
 FIELDS = rb"(?:" + TOKEN + rb":" + TEXT + rb"*\r\n)*\r\n"
@@ -55,7 +55,7 @@
     def request(
         self, method: str, target: str, headers: list[tuple[bytes, bytes]], body: bytes | None = None
     ) -> bytes:
-        """Returns the bytes of a request, and prepares to receive its response."""
+        """Return the bytes of a request, and prepare to receive its response."""
         if self.connection.our_state is not h11.IDLE:
             self.connection.start_next_cycle()
         self.head = None
@@ -73,9 +73,10 @@
         return b"".join(self.connection.send(e) or b"" for e in events)
 
     def receive(self, data: bytes) -> Response | None:
-        """Parses received bytes, or the end of the connection if empty.
+        """Parse received bytes, or the end of the connection if empty.
 
-        Returns the response once it is complete, else None; raises `HttpError`.
+        Return the response once it is complete, else None. Raises `HttpError` if it is malformed, too long or
+        truncated.
         """
         response, offset = None, 0
         while offset == 0 or offset < len(data):
@@ -122,7 +123,7 @@
         return None
 
     def _consumed(self) -> bytes:
-        """Returns the bytes that h11 has consumed for its last event."""
+        """Return the bytes that h11 has consumed for its last event."""
         unread, _ = self.connection.trailing_data
         consumed, self.raw = self.raw[: len(self.raw) - len(unread)], unread
         return consumed
@@ -134,9 +135,9 @@
 
     @staticmethod
     def _check_length(event: h11.Response | h11.InformationalResponse, head: bytes) -> None:
-        """Rejects ambiguous lengths, as h11 takes chunks before a length (RFC 9112, section 6).
+        """Reject ambiguous lengths (RFC 9112, section 6).
 
-        Guards against reading a body with another end than the sender's.
+        h11 prefers chunks to a length, so that a body could end elsewhere than the sender's.
         """
         lengths = LENGTHS.findall(head)
         chunked = any(name == b"transfer-encoding" for name, _ in event.headers)
@@ -151,6 +152,6 @@
             raise HttpError("trailers contain Content-Length or Transfer-Encoding")
 
     def reusable(self) -> bool:
-        """Returns whether the connection may carry another request."""
+        """Return whether the connection may carry another request."""
         done = self.connection.our_state is self.connection.their_state is h11.DONE
         return done and not any(self.connection.trailing_data)  # neither extra bytes nor a close
--- a/brackenwalk/net/listener.py
+++ b/brackenwalk/net/listener.py
@@ -16,7 +16,8 @@
 # then. No attempt may begin later than 0.1 s after a disconnect, even when a busy turn of the event loop
 # delays the poll.
 DISCONNECT_POLL_S = 0.025
-LINGER_RESERVE_DIVISOR = 8  # one in so many of the clients' descriptors is reserved for lingering connections
+# One in this many of the clients' descriptors is reserved for lingering connections.
+LINGER_RESERVE_DIVISOR = 8
 STALL_POLL_S = 0.25  # interval of looking for a stalled connection to close, as no event reports a stall
 LISTEN_BACKLOG = 512
 ACCEPT_RETRY_S = 0.1  # pause after a failed accept, so that running out of descriptors causes no busy loop
@@ -25,7 +26,7 @@
 
 
 def find_disconnected(connections: list[ClientConnection]) -> list[ClientConnection]:
-    """Returns those whose clients have disconnected, with one system call, as polls are frequent."""
+    """Return the connections whose clients have disconnected, with one system call for all."""
     poll, known = select.poll(), {}
     for connection in connections:
         descriptor = connection.transport.get_extra_info("socket").fileno()
@@ -52,7 +53,7 @@
         self.poll_timer: asyncio.TimerHandle | None = None
 
     def start(self, address: tuple[str, int]) -> None:
-        """Binds the address and starts accepting; raises OSError if the address cannot be bound."""
+        """Bind the address and start accepting. Raises OSError if the address cannot be bound."""
         self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self.socket.setblocking(False)
         self.socket.bind(address)
@@ -60,7 +61,7 @@
         self.accept_task = asyncio.create_task(self._accept_loop())
 
     async def _accept_loop(self) -> None:
-        """Accepts clients; once stopping, only those that are already in the kernel's accept queue."""
+        """Accept clients; once stopping, only those that are already in the kernel's accept queue."""
         loop = asyncio.get_running_loop()
         while True:
             try:
@@ -93,7 +94,7 @@
                 await self._make_room(connection)
 
     async def _make_room(self, newest: ClientConnection) -> None:
-        """Closes idle connections until all fit the budget; waits while there is none to close."""
+        """Close idle connections until all fit the budget; wait while there is none to close."""
         while len(self.connections) > self._max_open():
             self.changed.clear()
             if not self._close_one(newest):
@@ -108,12 +109,12 @@
         return self.budget - self.budget // LINGER_RESERVE_DIVISOR
 
     def _close_one(self, newest: ClientConnection | None = None) -> bool:
-        """Closes the connection idle for longest, else a stalled one. Returns whether there was one."""
+        """Close the connection idle for longest, else a stalled one. Return whether there was one."""
         idle = next(
             (c for c in self.connections if c is not newest and not c.has_unsent() and c.is_idle()), None
         )
         if idle is not None:
-            idle.close()
+            idle.close_gracefully()
             return True
         stalled = next((c for c in self.connections if c is not newest and c.is_stalled()), None)
         if stalled is not None:
@@ -121,35 +122,35 @@
         return stalled is not None
 
     def _reduce_budget(self) -> None:
-        """Shrinks the budget when the system grants less, to leave descriptors for discovery and servers."""
+        """Shrink the budget when the system grants less, to leave descriptors for discovery and servers."""
         self.budget = max(self.min_budget, self.budget - BUDGET_STEP)
         self._abort_lingering()
         while len(self.connections) > self._max_open() and self._close_one():
             pass
 
     def mark_idle(self, connection: ClientConnection) -> None:
-        """Records that a connection has no response outstanding."""
+        """Record that a connection has no response outstanding."""
         if connection in self.connections:
             del self.connections[connection]
             self.connections[connection] = None
         self.changed.set()
 
     def start_lingering(self, connection: ClientConnection) -> None:
-        """Records that the router has half-closed a connection, which still holds its descriptor."""
+        """Record that the router has half-closed a connection, which still holds its descriptor."""
         self.connections.pop(connection, None)
         self.lingering[connection] = None
         self.changed.set()
         self._abort_lingering()
 
     def _abort_lingering(self) -> None:
-        """Aborts lingering connections above the budget, first those with no unsent responses."""
+        """Abort lingering connections above the budget, first those with no unsent responses."""
         over = len(self.connections) + len(self.lingering) - self.budget
         if over > 0:
             for connection in sorted(self.lingering, key=ClientConnection.has_unsent)[:over]:
                 connection.abort()
 
     def watch_for_disconnect(self, connection: ClientConnection) -> None:
-        """Starts polling for a disconnect of a client while reading from it is paused."""
+        """Start polling for a disconnect of a client while reading from it is paused."""
         if connection not in self.paused:
             self.paused.append(connection)
         if self.poll_timer is None:
@@ -165,15 +166,15 @@
             self.poll_timer = asyncio.get_running_loop().call_later(DISCONNECT_POLL_S, self._poll_disconnects)
 
     def remove(self, connection: ClientConnection) -> None:
-        """Removes a closed connection."""
+        """Remove a closed connection."""
         self.connections.pop(connection, None)
         self.lingering.pop(connection, None)
         self.changed.set()
 
     async def stop(self, grace: float, time_limit: float) -> None:
-        """Accepts for `grace` more seconds, then waits until all responses are sent and all clients closed.
+        """Accept for `grace` more seconds, then wait until all responses are sent and all clients closed.
 
-        Gives up waiting `time_limit` seconds after that.
+        Give up waiting `time_limit` seconds after accepting has ended.
         """
         await asyncio.sleep(grace)
         self.stopping = True
@@ -187,7 +188,7 @@
                 while self.connections or self.lingering:
                     self.changed.clear()
                     for connection in list(self.connections):
-                        # Closes between requests only: a command that has begun to arrive is waited for.
+                        # Only between requests: a command that has begun to arrive is still served.
                         if connection.is_idle():
-                            connection.close()
+                            connection.close_gracefully()
                     await self.changed.wait()
--- a/brackenwalk/net/origin.py
+++ b/brackenwalk/net/origin.py
@@ -18,14 +18,15 @@
         self.client = HttpClient(address, MAX_VALUE_BYTES)
 
     def encode(self, command: Command, time_left: float) -> bytes:
-        """Returns the HTTP request for a command, with the time left as its deadline."""
-        # Guards against a key that contains a path or a query: escapes all but unreserved characters.
+        """Return the HTTP request for a command, with the time left as its deadline."""
+        # Escapes all but unreserved characters: a key that contains a path or a query would otherwise read or
+        # overwrite another object.
         target = "/" + quote_from_bytes(command.key, safe="")
         headers = [(b"Request-Id", command.request_id), (b"Request-Info", command.encode_info(time_left))]
         return self.client.request("PUT" if command.write else "GET", target, headers, command.value)
 
     def decode(self, data: bytes) -> AttemptResult | None:
-        """Maps a complete response to its outcome: the body, full if not started, or an error."""
+        """Map a complete response to its outcome: OK with the body, BUSY if not started, or an error."""
         try:
             response = self.client.receive(data)
         except HttpError as e:
@@ -38,7 +39,7 @@
         return (Status.BUSY if not_started else Status.ERROR), b""
 
     def eof_received(self) -> None:
-        """Completes a body that ends with its connection; `connection_lost` reports a truncated one."""
+        """Complete a body that ends with its connection; `connection_lost` will report a truncated one."""
         try:
             result = self.decode(b"")
         except MalformedResponse:
@@ -48,5 +49,5 @@
             exchange.finish(*result)
 
     def reusable(self) -> bool:
-        """Returns whether another request may follow."""
+        """Return whether another request may follow."""
         return self.client.reusable()
--- a/brackenwalk/net/peers.py
+++ b/brackenwalk/net/peers.py
@@ -24,13 +24,13 @@
     ) -> None:
         self.listen = parse_address(listen)
         self.peers = {parse_address(p) for p in peers} - {self.listen}
-        self.peers_all = parse_address(peers_all)  # what is sent to it reaches all peers
+        self.peers_all = parse_address(peers_all)  # a datagram sent to it reaches all peers
         self.on_message = on_message
         self.transport: asyncio.DatagramTransport | None = None
         self.rejected = 0  # datagrams not from a peer's address, or too long
 
     async def start(self) -> None:
-        """Opens the socket. If that fails, logs it and lets the router serve without its peers."""
+        """Open the socket. If that fails, log it and let the router serve without its peers."""
         loop = asyncio.get_running_loop()
         try:
             await loop.create_datagram_endpoint(lambda: self, local_addr=self.listen)
@@ -38,10 +38,10 @@
             log.error("peer socket did not open, exchanging no messages with other routers: %s", e)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Enlarges the receive buffer to hold one datagram of each peer."""
+        """Enlarge the receive buffer to hold one datagram of each peer."""
         # A cast, as asyncio's datagram transport is no subclass of DatagramTransport.
         self.transport = cast(asyncio.DatagramTransport, transport)
-        # Guards against losing datagrams that all peers send at once: the default buffer holds some 200.
+        # The default buffer holds some 200 datagrams; more that come at once would be lost.
         with suppress(OSError):
             peer_socket = self.transport.get_extra_info("socket")
             need = max(
@@ -51,21 +51,21 @@
             peer_socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, need)
 
     def datagram_received(self, data: bytes, addr: tuple[str | Any, int]) -> None:
-        """Passes on datagrams of peers and counts all others."""
+        """Pass on datagrams of peers and count all others."""
         if addr[:2] in self.peers and len(data) <= MAX_DATAGRAM_BYTES:
             self.on_message(data)
         else:
             self.rejected += 1
 
     def error_received(self, exc: Exception) -> None:
-        """Ignores ICMP errors of peers that are down, as datagrams may be lost anyway."""
+        """Ignore ICMP errors of peers that are down, as datagrams may be lost anyway."""
 
     def broadcast(self, content: bytes) -> None:
-        """Sends to all peers; ignores an empty or too long datagram, and all without a socket."""
+        """Send to all peers; ignore an empty or too long datagram, and any while the socket is not open."""
         if self.transport is not None and 0 < len(content) <= MAX_DATAGRAM_BYTES:
             self.transport.sendto(content, self.peers_all)
 
     def close(self) -> None:
-        """Closes the socket if it is open."""
+        """Close the socket if it is open."""
         if self.transport is not None:
             self.transport.close()
--- a/brackenwalk/net/pool.py
+++ b/brackenwalk/net/pool.py
@@ -13,7 +13,7 @@
 
 IDLE_MARGIN_S = 0.5  # time by which an idle connection is closed before the server may close it
 # Time after a response for which its connection is not reused. A faulty second response comes up to 4 ms
-# after the first (measured) and would be taken for the response to the next request.
+# after the first and would be taken for the response to the next request.
 REUSE_DELAY_S = 0.02
 log = logging.getLogger(__name__)
 
@@ -25,20 +25,20 @@
 
 
 def parse_address(text: str) -> tuple[str, int]:
-    """Splits `host:port`."""
+    """Split `host:port`."""
     host, _, port = text.rpartition(":")
     return host, int(port)
 
 
-def peer_closed(transport: asyncio.BaseTransport) -> bool:
-    """Returns whether the peer has closed or half-closed the connection, even behind unread bytes."""
+def remote_closed(transport: asyncio.BaseTransport) -> bool:
+    """Return whether the other end has closed or half-closed the connection, even behind unread bytes."""
     poll = select.poll()
     poll.register(transport.get_extra_info("socket").fileno(), select.POLLRDHUP)
     return bool(poll.poll(0))
 
 
 def readable(transport: asyncio.BaseTransport) -> bool:
-    """Returns whether the socket has bytes or a close that the event loop has not processed yet."""
+    """Return whether the socket has bytes or a close that the event loop has not processed yet."""
     poll = select.poll()
     poll.register(transport.get_extra_info("socket").fileno(), select.POLLIN)
     return bool(poll.poll(0))
@@ -67,17 +67,17 @@
         self.connection: Connection | None = None
 
     def finish(self, status: Status, value: bytes = b"") -> None:
-        """Reports the outcome, unless the attempt has ended already."""
+        """Report the outcome, unless the attempt has ended already."""
         if self.open:
             self.open = False
             self.on_done(status, value)
 
     def unsent(self) -> bool:
-        """Returns whether the server cannot have the whole request yet, while dialling or buffering."""
+        """Return whether the server cannot have the whole request yet, while dialling or buffering."""
         return self.open and (self.connection is None or not self.connection.fully_written)
 
     def abandon(self) -> None:
-        """Ends the attempt without an outcome and closes its connection.
+        """End the attempt without an outcome and close its connection.
 
         The close tells the server to stop work, and keeps a late response from being taken for the response
         to a later request.
@@ -104,18 +104,21 @@
 
     @abstractmethod
     def encode(self, command: Command, time_left: float) -> bytes:
-        """Returns the bytes of a request; `time_left` in seconds is what the server is told to have."""
+        """Return the bytes of a request, with `time_left` (in seconds) as its deadline for the server."""
 
     @abstractmethod
     def decode(self, data: bytes) -> AttemptResult | None:
-        """Parses bytes of a response. Returns None until it is complete; raises `MalformedResponse`."""
+        """Parse bytes of a response and return its result, or None until it is complete.
+
+        Raises `MalformedResponse` if the bytes are no valid response.
+        """
 
     @abstractmethod
     def reusable(self) -> bool:
-        """Returns whether a complete response was read with no bytes behind it."""
+        """Return whether a complete response was read with no bytes behind it."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Adds the connection to the pool."""
+        """Add the connection to the pool."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
         # Makes asyncio call `resume_writing` exactly when the last byte has been passed to the kernel.
@@ -123,31 +126,31 @@
         self.pool.connections.add(self)
 
     def begin(self, exchange: Exchange) -> None:
-        """Writes an attempt's request."""
+        """Write an attempt's request."""
         exchange.connection = self
         self.exchange = exchange
         self.fully_written = False
         try:
-            # Less than the attempt's time at its start by what the dial took.
+            # The dial has taken part of the time that the attempt had at its start.
             time_left = exchange.deadline - asyncio.get_running_loop().time()
             data = self.encode(exchange.command, time_left)
         except Exception:
-            # Guards the request: an attempt whose request cannot be encoded would have no outcome. Closing
-            # the connection ends it at once.
+            # An attempt whose request cannot be encoded would otherwise have no outcome. Closing the
+            # connection ends it at once.
             log.exception("request to %s could not be encoded: please report this trace", self.address)
             self.abort()
             return
         self.transport.write(data)
-        # Guards against executing a request twice: it may be sent again only if the server cannot have it
-        # whole, and `write` returns also when it has buffered bytes or failed.
+        # A request may be sent again only if the server cannot have it whole, or it could be executed twice.
+        # `write` also returns when it has buffered bytes or failed.
         self.fully_written = not self.transport.is_closing() and not self.transport.get_write_buffer_size()
 
     def resume_writing(self) -> None:
-        """Records that the kernel has the whole request."""
+        """Record that the kernel has the whole request."""
         self.fully_written = True
 
     def data_received(self, data: bytes) -> None:
-        """Parses the response. Once it is complete, ends the attempt and keeps or closes the connection."""
+        """Parse the response. Once it is complete, end the attempt and keep or close the connection."""
         exchange = self.exchange
         if exchange is None:  # unexpected bytes, which would be taken for the start of the next response
             self.abort()
@@ -155,7 +158,7 @@
         try:
             result = self.decode(data)
         except Exception as e:
-            # Guards the router: whatever bytes a server sends, an error costs only the connection.
+            # Whatever bytes a server sends, an error ends only this connection and its attempt.
             level = logging.WARNING if isinstance(e, MalformedResponse) else logging.ERROR
             log.log(level, "response from %s could not be read, connection closed: %r", self.address, e)
             self.exchange = None
@@ -171,14 +174,14 @@
             exchange.finish(*result)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Ends the attempt: as a reset if the whole request was written, else as one that never ran."""
+        """End the attempt: as a reset if the whole request was written, else as one that never ran."""
         self.pool.remove(self)
         exchange, self.exchange = self.exchange, None
         if exchange is not None:
             exchange.finish(Status.RESET if self.fully_written else Status.CONNECT_FAILED)
 
     def abort(self) -> None:
-        """Closes the connection at once, discarding buffered bytes."""
+        """Close the connection at once, discarding buffered bytes."""
         self.pool.remove(self)
         self.transport.abort()
 
@@ -209,9 +212,9 @@
         on_done: Callable[[Status, bytes], None],
         check_client: Callable[[], object] = lambda: None,
     ) -> Exchange:
-        """Starts an attempt on an idle connection or a new one.
+        """Start an attempt on an idle connection or a new one.
 
-        Calls `on_done` with the outcome, and `check_client` when a dial has completed. `time_left` is in
+        Call `on_done` with the outcome, and `check_client` when a dial has completed. `time_left` is in
         seconds.
         """
         exchange = Exchange(command, time_left, on_done, check_client)
@@ -223,7 +226,7 @@
             self.dials.add(exchange.dial)
             exchange.dial.add_done_callback(self.dials.discard)
         else:
-            # Guards against running out of descriptors, which would keep out new clients as well.
+            # A dial beyond the budget could take the descriptors that new clients need.
             exchange.finish(Status.CONNECT_FAILED)
         return exchange
 
@@ -235,7 +238,7 @@
                 )
         except Exception as e:
             if not isinstance(e, OSError):  # TimeoutError is an OSError
-                # Guards the request: an unusable address would leave its attempt without an outcome.
+                # An unusable address must not leave the attempt without an outcome.
                 log.error("dial to %s failed unexpectedly, check this address in the list: %r", address, e)
             exchange.finish(Status.CONNECT_FAILED)
             return
@@ -247,15 +250,15 @@
             connection.abort()
 
     def _take_idle(self, address: str) -> Connection | None:
-        """Returns the most recently used idle connection that may be reused, and drops those found closed."""
+        """Return the most recently used idle connection that may be reused; drop closed ones on the way."""
         idle = self.idle.get(address, [])
         idle_before = asyncio.get_running_loop().time() - REUSE_DELAY_S
         for connection in [c for c in reversed(idle) if c.idle_since <= idle_before]:
             idle.remove(connection)
             if connection.expiry_timer is not None:
                 connection.expiry_timer.cancel()
-            # Guards against resets: a request written to a connection that the server has closed since the
-            # event loop last polled it would be lost.
+            # The server may have closed the connection since the event loop last polled it. A request written
+            # to it would then be lost with a reset.
             if not connection.transport.is_closing() and not readable(connection.transport):
                 return connection
             connection.abort()
@@ -271,14 +274,14 @@
         return True
 
     def release(self, connection: Connection) -> None:
-        """Returns a connection to the pool for reuse, until shortly before the server would close it."""
+        """Return a connection to the pool for reuse, until shortly before the server would close it."""
         loop = asyncio.get_running_loop()
         connection.idle_since = loop.time()
         connection.expiry_timer = loop.call_later(self.idle_timeout, connection.abort)
         self.idle.setdefault(connection.address, []).append(connection)
 
     def remove(self, connection: Connection) -> None:
-        """Removes a closed connection."""
+        """Remove a closed connection."""
         self.connections.discard(connection)
         if connection.expiry_timer is not None:
             connection.expiry_timer.cancel()
@@ -289,12 +292,12 @@
             self.idle.pop(connection.address, None)
 
     def close_idle(self, address: str) -> None:
-        """Closes the idle connections to one address."""
+        """Close the idle connections to one address."""
         for connection in list(self.idle.get(address, ())):
             connection.abort()
 
     def close(self) -> None:
-        """Closes all connections and cancels all dials."""
+        """Close all connections and cancel all dials."""
         for connection in list(self.connections):
             connection.abort()
         for dial in self.dials:
--- a/brackenwalk/net/resp.py
+++ b/brackenwalk/net/resp.py
@@ -1,4 +1,4 @@
-"""A strict RESP2 parser that allocates nothing for a length before the bytes have arrived."""
+"""A strict RESP2 parser that allocates memory only for bytes that have arrived."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
     def __init__(self, top_types: bytes = b"+-:$*", element_types: bytes = b"+-:$") -> None:
         self.parser = hiredis.Reader(notEnoughData=INCOMPLETE)
         self.top_types = top_types
-        self.element_types = element_types
+        self.nested_types = element_types
         self.line = b""  # received part of an incomplete line
         self.bulk_left = 0  # bytes of a bulk string not received yet
         self.line_end_left = b""  # the rest of the line end behind it
@@ -35,7 +35,7 @@
         self.error = ""
 
     def feed(self, data: bytes) -> None:
-        """Parses bytes, ignoring those from an error on; `gets` raises it after the messages before it."""
+        """Parse bytes and ignore all after an error, which `gets` raises after the messages before it."""
         if self.error:
             return
         old_length, data, self.line = len(self.line), self.line + data, b""
@@ -60,13 +60,13 @@
         self.parser.feed(data[old_length:])
 
     def _skip_bulk(self, data: bytes, offset: int) -> int:
-        """Skips the received bytes of a bulk string and its line end. Returns their number."""
+        """Skip the received bytes of a bulk string and its line end, and return their number."""
         skipped = min(self.bulk_left, len(data) - offset)
         self.bulk_left -= skipped
         if not self.bulk_left:
             line_end = data[offset + skipped : offset + skipped + len(self.line_end_left)]
             if not self.line_end_left.startswith(line_end):
-                # Guards clients: with a wrong length, a value with a wrong end would be served.
+                # If the length in the header is wrong, a truncated or extended value would be served.
                 self.error = "a bulk string ends with CR LF"
                 return skipped
             self.line_end_left = self.line_end_left[len(line_end) :]
@@ -74,9 +74,9 @@
         return skipped
 
     def _read_header(self, line: bytes) -> str:
-        """Updates the state for a header line. Returns an error text, empty if there is none."""
+        """Update the state for a header line; return an error text, empty if the line is valid."""
         kind, value = line[:1], line[1:]
-        if not kind or kind not in (self.element_types if self.elements_left else self.top_types):
+        if not kind or kind not in (self.nested_types if self.elements_left else self.top_types):
             return (
                 "no message begins like this"
                 if not self.elements_left
@@ -95,16 +95,16 @@
         return ""
 
     def gets(self) -> Any:
-        """Returns the next message or `INCOMPLETE`; raises `hiredis.ProtocolError`."""
+        """Return the next message or `INCOMPLETE`. Raises `hiredis.ProtocolError` for malformed bytes."""
         message = self.parser.gets()
         if message is INCOMPLETE and self.error:
             raise hiredis.ProtocolError(self.error)
         return message
 
     def buffered(self) -> int:
-        """Returns the number of received bytes that have not been returned in a message yet."""
+        """Return the number of received bytes that have not been returned in a message yet."""
         return self.parser.len() if self.parser.has_data() else 0
 
     def at_boundary(self) -> bool:
-        """Returns whether the next byte starts a new message."""
+        """Return whether the next byte starts a new message."""
         return not self.error and not self.parser.has_data()
--- a/brackenwalk/net/servers.py
+++ b/brackenwalk/net/servers.py
@@ -24,7 +24,7 @@
         self.received_bytes = 0
 
     def encode(self, command: Command, time_left: float) -> bytes:
-        """Returns the command as an array of bulk strings, with the time left as its deadline."""
+        """Return the command as an array of bulk strings, with the time left as its deadline."""
         self.received_bytes = 0
         parts: tuple[Any, ...] = (
             command.verb,
@@ -37,7 +37,7 @@
         return bytes(hiredis.pack_command(parts))
 
     def decode(self, data: bytes) -> AttemptResult | None:
-        """Maps a complete response to its outcome: the value, a miss, `BUSY` or `ERR`."""
+        """Map a complete response to its outcome: the value, a miss, `BUSY` or `ERR`."""
         self.received_bytes += len(data)
         if self.received_bytes > MAX_RESPONSE_BYTES:
             raise MalformedResponse("longer than the largest value with its framing")
@@ -59,5 +59,5 @@
         return (Status.MISS, b"") if reply[0] is None else (Status.OK, reply[0])
 
     def reusable(self) -> bool:
-        """Returns whether no byte follows the response."""
+        """Return whether no byte follows the response."""
         return self.reader.at_boundary()
--- a/tests/test_main.py
+++ b/tests/test_main.py
@@ -105,7 +105,7 @@
 
 
 async def connect_ready(address: tuple[str, int]) -> Link:
-    """Returns a client connection on which a PING has been answered."""
+    """Return a client connection on which a PING has been answered."""
     client = Link(*await asyncio.open_connection(*address))
     client.write(command("PING"))
     assert await client.resp() == b"PONG"
@@ -113,7 +113,7 @@
 
 
 async def wait_for_log(log: asyncio.StreamReader | None, pattern: bytes) -> bytes:
-    """Returns the text that a regular expression matches in the next line of the log to match it."""
+    """Return the text that a regular expression matches in the next line of the log to match it."""
     assert log is not None
     while (match := re.search(pattern, await log.readline())) is None:
         assert not log.at_eof()
@@ -121,14 +121,14 @@
 
 
 async def listening_address(log: asyncio.StreamReader | None) -> tuple[str, int]:
-    """Returns the address that the process logs that it listens on."""
+    """Return the address that the process logs that it listens on."""
     return parse_address(
         (await wait_for_log(log, rb"listening on [0-9.]+:\d+")).decode().removeprefix("listening on ")
     )
 
 
 async def launch(path: Path, config: dict[str, Any]) -> asyncio.subprocess.Process:
-    """Starts a router process with a configuration at this path; its log is on standard error."""
+    """Start a router process with a configuration at this path; its log is on standard error."""
     path.write_bytes(orjson.dumps(config))
     return await asyncio.create_subprocess_exec(
         sys.executable,
--- a/tests/test_net_host.py
+++ b/tests/test_net_host.py
@@ -454,7 +454,7 @@
 
 
 async def wait_for_disconnects(router: RouterHarness) -> None:
-    """Waits until the router has noticed that all clients have disconnected."""
+    """Wait until the router has noticed that all clients have disconnected."""
     while router.listener.connections:
         await asyncio.sleep(0.01)
     assert all(tracked.closed for tracked in router.host.requests.values())
--- a/tests/test_net_pool.py
+++ b/tests/test_net_pool.py
@@ -30,7 +30,7 @@
         self.results: asyncio.Queue[tuple[Status, bytes]] = asyncio.Queue()
 
     async def start_and_receive(self, peer: ScriptedServer) -> Link:
-        """Starts an attempt and returns the connection on which the peer has received it."""
+        """Start an attempt and returns the connection on which the peer has received it."""
         self.start(peer.address)
         link = await peer.link()
         assert (await link.resp())[2] == b"r1"
@@ -429,7 +429,7 @@
 
 
 async def result_of_closed_response(data: bytes, reset: bool, one_turn: bool) -> tuple[Status, bytes]:
-    """Returns the result of an attempt at an origin that sends `data` and then closes or resets.
+    """Return the result of an attempt at an origin that sends `data` and then closes or resets.
 
     With `one_turn` the event loop sees the end in the same turn as the data, else in a later one.
     """
--- a/tests/test_net_turns.py
+++ b/tests/test_net_turns.py
@@ -36,7 +36,7 @@
 
 
 async def flooding_client(router: RouterHarness, command_log: CommandLog) -> Link:
-    """Returns a client that has sent a flood, of which the first commands have just been processed."""
+    """Return a client that has sent a flood, of which the first commands have just been processed."""
     flooding = await router.client()
     await run_loop()
     send_now(flooding, REFUSED_COMMAND * FLOOD)
