--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -62,12 +62,12 @@
     return bytes(hiredis.pack_command(parts))  # type: ignore[arg-type]
 
 
-def read(request: str, key: str = "k", info: str = "c=read,t=x,d=2000") -> bytes:
-    return command("C.GET", key, request, info)
+def read(request_id: str, key: str = "k", info: str = "c=read,t=x,d=2000") -> bytes:
+    return command("C.GET", key, request_id, info)
 
 
-def book(request: str, key: str = "k", value: bytes = b"slot") -> bytes:
-    return command("C.SET", key, request, "c=book,t=x,d=2000,k=5c0f", value)
+def book(request_id: str, key: str = "k", value: bytes = b"slot") -> bytes:
+    return command("C.SET", key, request_id, "c=book,t=x,d=2000,k=5c0f", value)
 
 
 class Link:
@@ -90,13 +90,15 @@
         return message
 
     async def http(self) -> tuple[str, dict[str, str], bytes]:
-        """Read the next HTTP request: its request line, headers and body."""
-        first, *fields = (await self.reader.readuntil(b"\r\n\r\n")).decode().strip().split("\r\n")
-        headers = {k.lower(): v for k, v in (line.split(": ", 1) for line in fields)}
-        return first, headers, await self.reader.readexactly(int(headers.get("content-length", 0)))
+        """Read the next HTTP request, and return its request line, headers and body."""
+        request_line, *header_lines = (
+            (await self.reader.readuntil(b"\r\n\r\n")).decode().strip().split("\r\n")
+        )
+        headers = {k.lower(): v for k, v in (line.split(": ", 1) for line in header_lines)}
+        return request_line, headers, await self.reader.readexactly(int(headers.get("content-length", 0)))
 
     async def wait_closed(self) -> bool:
-        """Wait for the other side to close or reset; False if it sent anything before."""
+        """Wait for the router to close or reset the connection; False if it sends anything before."""
         try:
             return await self.reader.read() == b""
         except ConnectionResetError:
@@ -107,8 +109,8 @@
 
     def reset(self) -> None:
         """Close with a reset."""
-        own = self.writer.get_extra_info("socket")
-        own.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+        link_socket = self.writer.get_extra_info("socket")
+        link_socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         self.writer.transport.abort()
 
 
@@ -143,18 +145,20 @@
 class RouterHarness:
     """A host and its listener, with two scripted cache servers and an origin."""
 
-    def __init__(self, settings: api.Settings = SETTINGS, listed: bool = True, clients: int = 16) -> None:
+    def __init__(
+        self, settings: api.Settings = SETTINGS, listed: bool = True, client_budget: int = 16
+    ) -> None:
         self.listed = listed
-        self.subscribed = 0
+        self.subscribe_count = 0
         self.caches = {"a": ScriptedServer(), "b": ScriptedServer()}
         self.origin = ScriptedServer()
-        self.servers = Pool(CacheConnection, 16, 1.0, 60.0)
-        self.origins = Pool(OriginConnection, 16, 1.0, 60.0)
-        self.host = Host(settings, 1, self.servers, self.origins, self._subscribe)
-        self.listener = Listener(self.host, clients)
+        self.cache_pool = Pool(CacheConnection, 16, 1.0, 60.0)
+        self.origin_pool = Pool(OriginConnection, 16, 1.0, 60.0)
+        self.host = Host(settings, 1, self.cache_pool, self.origin_pool, self._subscribe)
+        self.listener = Listener(self.host, client_budget)
 
     def _subscribe(self) -> None:
-        self.subscribed += 1
+        self.subscribe_count += 1
 
     async def __aenter__(self) -> Self:
         for server in (*self.caches.values(), self.origin):
@@ -175,8 +179,8 @@
         for connection in [*self.listener.connections, *self.listener.lingering]:
             connection.transport.abort()
         await self.listener.stop(0.0, 1.0)
-        self.servers.close()
-        self.origins.close()
+        self.cache_pool.close()
+        self.origin_pool.close()
         for server in (*self.caches.values(), self.origin):
             await server.__aexit__(kind, error, trace)
 
@@ -192,10 +196,10 @@
             other.cancel()
         return done.pop().result()
 
-    async def start_read(self, request: str = "r1", info: str = "c=read,t=x,d=2000") -> tuple[Link, Link]:
-        """Send a read and wait until a cache server has it; returns the client's and the server's links."""
+    async def start_read(self, request_id: str = "r1", info: str = "c=read,t=x,d=2000") -> tuple[Link, Link]:
+        """Send a read and wait until a cache server has it; return the client's and the server's links."""
         client = await self.client()
-        client.write(read(request, info=info))
+        client.write(read(request_id, info=info))
         cache = await self.cache()
-        assert (await cache.resp())[2] == request.encode()
+        assert (await cache.resp())[2] == request_id.encode()
         return client, cache
--- a/tests/test_grammar_http.py
+++ b/tests/test_grammar_http.py
@@ -1,4 +1,4 @@
-"""HTTP answers are read as RFC 9112 says, in pieces of any size, and everything else is rejected.
+"""HTTP responses are read as RFC 9112 says, in pieces of any size, and everything else is rejected.
 
 `Reference` implements the RFC a second time: it reads a whole text byte by byte, and shares only limits with
 the code under test.
@@ -29,14 +29,14 @@
 
 
 def waiting_client() -> HttpClient:
-    """Return a client that waits for its answer."""
+    """Return a client that waits for its response."""
     client = HttpClient("127.0.0.1:1", MAX_BODY)
     client.request("GET", "/k", [])
     return client
 
 
 def read(client: HttpClient, text: bytes, piece: int = 99999, ended: bool = True) -> Response | None:
-    """Feed an answer to a client in pieces of a size, and the end of the connection if `ended`."""
+    """Feed a response to a client in pieces of a size, and the end of the connection if `ended`."""
     for at in range(0, len(text), piece):
         if (response := client.receive(text[at : at + piece])) is not None:
             return response
@@ -55,8 +55,8 @@
         OK.replace(b"\r", b"") + b"Content-Length: 5\n\nvalue",
         OK + b"Content-Length: 5\n\nvalue",
         OK + b"Content-Length: 5\r\n\nvalue",
-        OK + b"Content-Length: 5\n\r\n\r\nvalue",  # used to be read as another body
-        OK + b"X: a\r\n Content-Length: 5\r\n\r\nvalue",  # used to be read as having no length
+        OK + b"Content-Length: 5\n\r\n\r\nvalue",  # h11 alone reads another body
+        OK + b"X: a\r\n Content-Length: 5\r\n\r\nvalue",  # h11 alone finds no length
         OK + b"Content-Length: 5\r\nX: a\r\n\tb\r\n\r\nvalue",
         OK + b"Content-Length: 5\r\nX: a\x01b\r\n\r\nvalue",
         OK + b"Content-Length: 5\r\nX: a\x7f\r\n\r\nvalue",
@@ -77,13 +77,13 @@
     ],
 )
 def test_text_outside_the_grammar_is_rejected(text: bytes, piece: int) -> None:
-    """A reader that takes line ends or folding otherwise than the sender finds another body."""
+    """A reader that interprets line ends or folding differently from the sender finds another body."""
     assert_rejected(text, piece)
 
 
 @PIECES
 def test_a_head_is_limited_in_pieces_of_any_size(piece: int) -> None:
-    """A head that arrived in one piece used to be read at any length."""
+    """h11 alone accepts a head of any length that arrives in one piece."""
     head = OK + b"X: " + b"x" * MAX_FIELD + b"\r\n\r\n"
     response = read(waiting_client(), head + b"value", piece)
     assert response is not None and response.body == b"value"
@@ -107,25 +107,25 @@
         b"HTTP/1.1 100 C\r\nContent-Length: 5, 5\r\n\r\n" + OK + b"Content-Length: 5\r\n\r\nvalue",
     ],
 )
-def test_an_answer_with_more_than_one_length_is_rejected(text: bytes, piece: int) -> None:
-    """The sender, or something on the way, may go by the other length: response smuggling."""
+def test_a_response_with_more_than_one_length_is_rejected(text: bytes, piece: int) -> None:
+    """The sender or a proxy may use the other length: response smuggling."""
     assert_rejected(text, piece)
 
 
 @PIECES
-def test_the_number_of_informational_answers_is_limited(piece: int) -> None:
-    """A server that sends them without end kept the router reading without an answer."""
-    head, answer = b"HTTP/1.1 103 Early Hints\r\nLink: a\r\n\r\n", OK + b"Content-Length: 5\r\n\r\nvalue"
+def test_the_number_of_informational_responses_is_limited(piece: int) -> None:
+    """A server that sends them without end would keep the router reading without a final response."""
+    head, final = b"HTTP/1.1 103 Early Hints\r\nLink: a\r\n\r\n", OK + b"Content-Length: 5\r\n\r\nvalue"
     client = waiting_client()
-    for _ in range(2):  # the limit is per answer, not per connection
-        response = read(client, head * MAX_INFORMATIONAL + answer, piece, ended=False)
+    for _ in range(2):  # the limit is per response, not per connection
+        response = read(client, head * MAX_INFORMATIONAL + final, piece, ended=False)
         assert response is not None and response.body == b"value" and client.reusable()
         client.request("GET", "/k", [])
-    assert_rejected(head * (MAX_INFORMATIONAL + 1) + answer, piece)
+    assert_rejected(head * (MAX_INFORMATIONAL + 1) + final, piece)
 
 
 def test_values_of_a_repeated_field_are_joined() -> None:
-    """Only the last was kept: after `Not-Started: 0`, `Not-Started: 1` let a write be sent again."""
+    """If only the last counted, `Not-Started: 1` after `Not-Started: 0` would let a write be sent again."""
     response = read(
         waiting_client(), OK + b"Not-Started: 0\r\nX: a\r\nnot-started: 1\r\nContent-Length: 0\r\n\r\n"
     )
@@ -171,7 +171,7 @@
         (b"HTTP/1.1 599 X\r\nContent-Length: 5\r\n\r\nvalue", 599, b"value", True),
     ],
 )
-def test_all_forms_of_an_answer_are_accepted(
+def test_all_forms_of_a_response_are_accepted(
     text: bytes, status: int, body: bytes, reusable: bool, piece: int
 ) -> None:
     client = waiting_client()
@@ -255,8 +255,8 @@
         b"http/1.1 200 OK\r\n\r\nvalue",
     ],
 )
-def test_what_h11_rejects_stays_rejected(text: bytes, piece: int) -> None:
-    """Guards against another version of h11 that would accept these."""
+def test_text_that_h11_rejects_stays_rejected(text: bytes, piece: int) -> None:
+    """Detects a version of h11 that accepts one of these."""
     assert_rejected(text, piece)
 
 
@@ -277,7 +277,7 @@
 
 
 @pytest.mark.parametrize(
-    ("answer", "body"),
+    ("text", "body"),
     [
         (OK + b"Content-Length: 5\r\n\r\nvalue", b"value"),
         (OK + b"Content-Length: 0\r\n\r\n", b""),
@@ -287,10 +287,10 @@
     ],
 )
 @pytest.mark.parametrize("extra", [b"\n", b"value", OK + b"Content-Length: 5\r\n\r\nother", b"x" * 99999])
-def test_bytes_after_an_answer_are_not_part_of_it(answer: bytes, body: bytes, extra: bytes) -> None:
-    """The connection is not reused: the next answer could not be told from the bytes left over."""
+def test_bytes_after_a_response_are_not_part_of_it(text: bytes, body: bytes, extra: bytes) -> None:
+    """The connection is not reused: the next response could not be told from the bytes left over."""
     client = waiting_client()
-    response = read(client, answer + extra, ended=False)
+    response = read(client, text + extra, ended=False)
     assert response is not None and response.body == body and not client.reusable()
 
 
@@ -300,25 +300,25 @@
 LONGEST_NUMBER = 20  # digits; the RFC leaves the limit to the reader
 
 
-class InvalidAnswerError(Exception):
-    """The text is not an answer, or not a whole one."""
+class InvalidResponseError(Exception):
+    """The text is not a complete response."""
 
 
 def require(condition: bool) -> None:
     if not condition:
-        raise InvalidAnswerError
+        raise InvalidResponseError
 
 
 class Reference:
-    """Reads one answer from all the bytes that arrived."""
+    """Reads one response from all the bytes that arrived."""
 
     def __init__(self, text: bytes, ended: bool) -> None:
         self.text = text
         self.ended = ended
         self.at = 0
 
-    def answer(self) -> Response:
-        """Return the answer, and leave `at` at its end."""
+    def response(self) -> Response:
+        """Return the response, and leave `at` at its end."""
         for _ in range(MAX_INFORMATIONAL + 1):
             start = self.at
             minor, status = self.status_line()
@@ -391,7 +391,7 @@
         line = self.line()
         digits = next((i for i, c in enumerate(line) if c not in HEX), len(line))
         require(0 < digits <= LONGEST_NUMBER)
-        # the RFC allows white space before the semicolon, but tells senders not to write it; h11 rejects it
+        # The RFC allows white space before the semicolon, but tells senders not to write it; h11 rejects it.
         require(line[digits : digits + 1] in (b"", b";"))
         self.extensions(line[digits:])
         return int(line[:digits], 16)
@@ -408,14 +408,14 @@
 
     @staticmethod
     def word(line: bytes) -> bytes:
-        """Return what follows a token."""
+        """Return the rest of the line after a token."""
         size = next((i for i, c in enumerate(line) if c not in TOKEN), len(line))
         require(size > 0)
         return line[size:]
 
     @staticmethod
     def quoted(line: bytes) -> bytes:
-        """Return what follows a quoted string, whose first quote has been read."""
+        """Return the rest after a quoted string, whose first quote has been read."""
         at = 0
         while line[at : at + 1] != b'"':
             at += 2 if line[at : at + 1] == b"\\" else 1
@@ -424,17 +424,17 @@
 
 
 def reference(text: bytes, ended: bool) -> tuple[Response, bytes] | None:
-    """Return the answer and the bytes after it, None if there is none."""
+    """Return the response and the bytes after it, or None if there is none."""
     reader = Reference(text, ended)
     try:
-        return reader.answer(), text[reader.at :]
-    except InvalidAnswerError:
+        return reader.response(), text[reader.at :]
+    except InvalidResponseError:
         return None
 
 
 @dataclass
 class Message:
-    """A valid answer, and what it was built from."""
+    """A valid response as text and in parts."""
 
     text: bytes
     response: Response
@@ -496,7 +496,7 @@
 
 @st.composite
 def changed(draw: st.DrawFn) -> bytes:
-    """A valid answer with one byte or line changed, cut short, or followed by more."""
+    """A valid response with one byte or line changed, cut short, or followed by more."""
     text = draw(messages()).text
     at = draw(st.integers(0, len(text) - 1))
     byte = bytes([draw(st.sampled_from(BYTES))])
@@ -537,7 +537,7 @@
 
 @EXAMPLES
 @given(messages(), CUTS)
-def test_a_valid_answer_split_anywhere_is_read_as_it_was_built(message: Message, cuts: list[int]) -> None:
+def test_a_valid_response_split_anywhere_is_read_as_it_was_built(message: Message, cuts: list[int]) -> None:
     assert reference(message.text, ended=message.until_close) == (message.response, b"")
     client = waiting_client()
     *firsts, last = pieces(message.text, cuts)
@@ -551,7 +551,9 @@
 
 @EXAMPLES
 @given(changed(), CUTS, st.booleans())
-def test_a_changed_answer_is_read_by_the_grammar_or_fails(text: bytes, cuts: list[int], ended: bool) -> None:
+def test_a_changed_response_is_read_by_the_grammar_or_fails(
+    text: bytes, cuts: list[int], ended: bool
+) -> None:
     """Unless `ended`, the bytes are all that arrives before a reset."""
     expected = reference(text, ended)
     client, response = waiting_client(), None
@@ -567,7 +569,7 @@
 
 @EXAMPLES
 @given(changed())
-def test_a_connection_with_bytes_after_an_answer_is_not_reused(text: bytes) -> None:
+def test_a_connection_with_bytes_after_a_response_is_not_reused(text: bytes) -> None:
     client, response = waiting_client(), None
     with contextlib.suppress(HttpError):
         response = client.receive(text)
--- a/tests/test_grammar_resp.py
+++ b/tests/test_grammar_resp.py
@@ -1,4 +1,4 @@
-"""RESP2 answers and commands: valid ones are read as they were built, all others are rejected.
+"""RESP2 responses and commands: valid ones are read as they were built, all others are rejected.
 
 The grammar is written here a second time, as regular expressions over whole messages.
 """
@@ -54,8 +54,8 @@
     return parts, text
 
 
-def answer_of(text: bytes) -> AttemptResult | None:
-    """Return what a whole answer at the beginning of a text means by PROTOCOL; None if there is none."""
+def response_of(text: bytes) -> AttemptResult | None:
+    """Return the result of a complete response at the beginning of a text; None if there is none."""
     if text.startswith(b"*3\r\n"):
         parts = bulks(text[4:], 3)
         if parts is None:
@@ -75,15 +75,15 @@
 
 
 def decode(parts: list[bytes]) -> AttemptResult | str:
-    """Return what a connection to a cache server decodes from an answer that arrives in these pieces."""
+    """Return the result that a cache server's connection decodes from a response in these pieces."""
     connection = CacheConnection(Pool(CacheConnection, 1, 1.0, 60.0), "127.0.0.1:1")
     for part in parts:
         try:
-            answer = connection.decode(part)
+            response = connection.decode(part)
         except MalformedResponse:
             return "malformed"
-        if answer is not None:
-            return answer
+        if response is not None:
+            return response
     return "incomplete"
 
 
@@ -92,31 +92,31 @@
     st.sampled_from([b"\r\n", b"$3\r\nabc\r\n", b"*3\r\n", b"-BUSY\r\n", b"\r", b"\n", b"$-1\r\n"]),
 )
 optional = st.one_of(st.none(), values)
-answers = st.one_of(
+responses = st.one_of(
     st.tuples(optional, optional, optional).map(array),
     st.sampled_from(
         [b"-BUSY\r\n", b"-ERR failed\r\n", b"-ERR failed inflight=7\r\n", b"-BUSY inflight=9\r\n"]
     ),
 )
 cut = st.sets(st.integers(0, 400), max_size=6)
-examples = settings(deadline=None, derandomize=True, max_examples=300)
+EXAMPLES = settings(deadline=None, derandomize=True, max_examples=300)
 
 
-@examples
-@given(answers, cut)
-def test_a_valid_answer_split_anywhere_is_read_as_it_was_built(text: bytes, cuts: set[int]) -> None:
-    assert decode(pieces(text, cuts)) == answer_of(text)
+@EXAMPLES
+@given(responses, cut)
+def test_a_valid_response_split_anywhere_is_read_as_it_was_built(text: bytes, cuts: set[int]) -> None:
+    assert decode(pieces(text, cuts)) == response_of(text)
 
 
-@examples
-@given(answers, st.integers(0, 400), st.binary(min_size=0, max_size=2), st.integers(0, 2), cut)
-def test_a_changed_answer_is_read_by_the_grammar_or_fails(
+@EXAMPLES
+@given(responses, st.integers(0, 400), st.binary(min_size=0, max_size=2), st.integers(0, 2), cut)
+def test_a_changed_response_is_read_by_the_grammar_or_fails(
     text: bytes, at: int, inserted: bytes, removed: int, cuts: set[int]
 ) -> None:
     at %= len(text)
     changed = text[:at] + inserted + text[at + removed :]
-    got, expected = decode(pieces(changed, cuts)), answer_of(changed)
-    assert got == expected if expected is not None else got in ("malformed", "incomplete")
+    received, expected = decode(pieces(changed, cuts)), response_of(changed)
+    assert received == expected if expected is not None else received in ("malformed", "incomplete")
 
 
 FIELDS = [
@@ -155,33 +155,33 @@
 
 @pytest.mark.parametrize("piece", [1, 2, 3, 99])
 @pytest.mark.parametrize(("valid", "invalid"), FIELDS)
-def test_an_answer_with_an_invalid_field_is_not_served(valid: bytes, invalid: bytes, piece: int) -> None:
+def test_a_response_with_an_invalid_field_is_not_served(valid: bytes, invalid: bytes, piece: int) -> None:
     text = array([b"value", b"hit", None]).replace(valid, invalid, 1)
-    got = decode([text[i : i + piece] for i in range(0, len(text), piece)])
-    assert got in ("malformed", "incomplete")
+    received = decode([text[i : i + piece] for i in range(0, len(text), piece)])
+    assert received in ("malformed", "incomplete")
 
 
 @pytest.mark.parametrize(
     "text", [b"-\r\n", b"-BUSYBODY\r\n", b"-NOPERM\r\n", b"-busy\r\n", b"+OK\r\n", b"$5\r\nvalue\r\n"]
 )
-def test_only_error_lines_of_the_protocol_are_answers(text: bytes) -> None:
+def test_only_error_lines_of_the_protocol_are_responses(text: bytes) -> None:
     assert decode([text]) == "malformed"
 
 
 @pytest.mark.parametrize("at", range(1, len(b"value\r\n") + 1))
 def test_a_value_without_its_line_end_is_not_served(at: int) -> None:
-    """`*3 $4 abcdef$-1` was served as `abcd`: the two bytes after a bulk string were skipped unchecked."""
+    """`*3 $4 abcdef$-1` must not be read as `abcd`: hiredis skips two bytes after a bulk string unread."""
 
     async def scenario() -> None:
         async with ScriptedServer() as server:
-            ends = cache_attempts()
-            link = await ends.start_and_receive(server)
+            attempts = cache_attempts()
+            link = await attempts.start_and_receive(server)
             invalid = b"$5\r\nvalueXY$-1\r\n$-1\r\n"
             link.write(b"*3\r\n" + invalid[: 4 + at])
             await link.writer.drain()
             link.write(invalid[4 + at :])
-            assert await ends.result() == (Status.ERROR, b"")
-            assert await link.wait_closed() and not ends.pool.connections
+            assert await attempts.result() == (Status.ERROR, b"")
+            assert await link.wait_closed() and not attempts.pool.connections
 
     run(scenario)
 
@@ -192,18 +192,18 @@
 def read(parts: list[bytes]) -> list[Any]:
     """Return the messages that a client's connection reads, and "error" at the first that is invalid."""
     reader = Reader(element_types=b":-$")
-    got: list[Any] = []
+    received: list[Any] = []
     for part in parts:
         reader.feed(part)
         while True:
             try:
                 message = reader.gets()
             except hiredis.ProtocolError:
-                return [*got, "error"]
+                return [*received, "error"]
             if message is INCOMPLETE:
                 break
-            got.append(message)
-    return got
+            received.append(message)
+    return received
 
 
 LINE = re.compile(rb"[+-][^\r\n]*\r\n|:(?:0|-?[1-9][0-9]{0,17})\r\n")
@@ -219,8 +219,8 @@
 
 
 def commands_of(text: bytes) -> list[list[bytes]]:
-    """Return the arrays of bulk strings in a text, up to the first thing that the grammar does not allow."""
-    got: list[list[bytes]] = []
+    """Return the arrays of bulk strings in a text, up to the first bytes that the grammar does not allow."""
+    received: list[list[bytes]] = []
     while text:
         head = re.match(rb"\*(-1|0|[1-9][0-9]?)\r\n", text)
         if head is None:
@@ -231,24 +231,24 @@
         text, parts = text[head.end() :], []
         for _ in range(max(0, int(head[1]))):
             if (part := split_simple(text, simple=False)) is None:
-                return got
+                return received
             parts.append(part[0])
             text = part[1]
         if parts and None not in parts:
-            got.append([p for p in parts if p is not None])
-    return got
+            received.append([p for p in parts if p is not None])
+    return received
 
 
 commands = st.lists(st.lists(values, min_size=1, max_size=5).map(array), min_size=1, max_size=3).map(b"".join)
 
 
-@examples
+@EXAMPLES
 @given(commands, cut)
 def test_valid_commands_split_anywhere_are_read_as_they_were_built(text: bytes, cuts: set[int]) -> None:
     assert read(pieces(text, cuts)) == commands_of(text)
 
 
-@examples
+@EXAMPLES
 @given(commands, st.integers(0, 600), st.binary(min_size=0, max_size=2), st.integers(0, 2), cut)
 def test_changed_commands_are_read_by_the_grammar_or_fail(
     text: bytes, at: int, inserted: bytes, removed: int, cuts: set[int]
--- a/tests/test_main.py
+++ b/tests/test_main.py
@@ -105,7 +105,7 @@
 
 
 async def connect_ready(address: tuple[str, int]) -> Link:
-    """Return a client connection on which a PING has been answered."""
+    """Return a client connection on which a PING has succeeded."""
     client = Link(*await asyncio.open_connection(*address))
     client.write(command("PING"))
     assert await client.resp() == b"PONG"
@@ -113,7 +113,7 @@
 
 
 async def wait_for_log(log: asyncio.StreamReader | None, pattern: bytes) -> bytes:
-    """Return the text that a regular expression matches in the next line of the log to match it."""
+    """Read the log up to a line that matches a regular expression, and return the matching text."""
     assert log is not None
     while (match := re.search(pattern, await log.readline())) is None:
         assert not log.at_eof()
@@ -140,7 +140,7 @@
 
 
 @pytest.mark.parametrize("mode", ["subscribe", "automatic"])
-def test_process_serves_reloads_and_exits_once_all_is_answered(mode: str, tmp_path: Path) -> None:
+def test_process_serves_reloads_and_exits_once_all_requests_have_responses(mode: str, tmp_path: Path) -> None:
     """An exit too early loses accepted requests; one too late is cut short by SIGKILL, with the same loss.
 
     SIGHUP must not end the process, whatever the file contains by then.
@@ -148,8 +148,8 @@
 
     async def scenario() -> None:
         async with ScriptedServer() as cache, ScriptedServer() as discovery, ScriptedServer() as moved:
-            line = {**ENTRY, "address": cache.address, "type": "std", "since_ms": 0}
-            known = {"index": 1, "snapshot": True, "endpoints": [line]}
+            server_entry = {**ENTRY, "address": cache.address, "type": "std", "since_ms": 0}
+            known = {"index": 1, "snapshot": True, "endpoints": [server_entry]}
             settings = {**CONF, "membershipMode": mode}
             config = {
                 **VALID_CONFIG,
@@ -192,15 +192,15 @@
 
 
 def test_hanging_server_does_not_delay_exit(tmp_path: Path) -> None:
-    """SIGKILL follows after the longest deadline of the settings; all must be answered before it."""
+    """SIGKILL follows after the longest deadline of the settings; all responses must be sent before."""
 
     async def scenario() -> None:
         async with ScriptedServer() as cache, ScriptedServer() as discovery:
-            line = {**ENTRY, "address": cache.address, "type": "std", "since_ms": 0}
+            server_entry = {**ENTRY, "address": cache.address, "type": "std", "since_ms": 0}
             classes = [{**CONF["classes"][0], "giveUp": 0.3}, *CONF["classes"][1:]]
             config = {**VALID_CONFIG, "listen": "127.0.0.1:0", "discovery": discovery.address}
             config["settings"] = {**CONF, "classes": [{**c, "giveUp": 0.3} for c in classes]}
-            config["known"] = {"index": 1, "snapshot": True, "endpoints": [line]}
+            config["known"] = {"index": 1, "snapshot": True, "endpoints": [server_entry]}
             path = tmp_path / "config.json"
             process = await launch(path, config)
             try:
@@ -228,10 +228,10 @@
 
     async def scenario() -> None:
         async with ScriptedServer() as cache, ScriptedServer() as discovery:
-            lines = [
+            server_entries = [
                 {**ENTRY, "name": f"s-{i}", "address": cache.address, "since_ms": 0} for i in range(1024)
             ]
-            known = {"index": 1, "snapshot": True, "endpoints": lines}
+            known = {"index": 1, "snapshot": True, "endpoints": server_entries}
             peers = ["127.0.0.1:0", *(f"127.1.{i // 256}.{i % 256}:7946" for i in range(1023))]
             peer_config = {"peer_listen": peers[0], "peers": peers, "peers_all": "127.1.255.255:7946"}
             settings = {**CONF, "siblings": 1024, "limits": {**CONF["limits"], "peers": True}}
@@ -243,7 +243,7 @@
                 client = await connect_ready(await listening_address(process.stderr))
                 watch = await discovery.link()
                 assert "after=1&" in (await watch.http())[0]
-                full_list = {"index": 2, "snapshot": True, "endpoints": lines}
+                full_list = {"index": 2, "snapshot": True, "endpoints": server_entries}
                 watch.write(http("200 OK", orjson.dumps(full_list)))
                 assert "after=2&" in (await (await discovery.link()).http())[0]
                 client.write(read("r1"))
--- a/tests/test_net_host.py
+++ b/tests/test_net_host.py
@@ -42,11 +42,11 @@
             client = await router.client()
             client.write(read("r1", "key", "c=read,t=x,d=2000,h=90,size=7"))
             cache = await router.cache()
-            verb, key, request, info = await cache.resp()
-            assert (verb, key, request) == (b"C.GET", b"key", b"r1")
-            named = dict(pair.split("=") for pair in info.decode().split(","))
-            assert list(named) == ["c", "t", "d", "h", "size"] and named["size"] == "7"
-            assert 0 < int(named["d"]) < 2000  # the remaining time
+            verb, key, request_id, info = await cache.resp()
+            assert (verb, key, request_id) == (b"C.GET", b"key", b"r1")
+            fields = dict(pair.split("=") for pair in info.decode().split(","))
+            assert list(fields) == ["c", "t", "d", "h", "size"] and fields["size"] == "7"
+            assert 0 < int(fields["d"]) < 2000  # the remaining time
             cache.write(HIT)
             assert await client.resp() == b"value"
 
@@ -59,8 +59,8 @@
             client, cache = await router.start_read()
             cache.write(MISS)
             origin = await router.origin.link()
-            first, headers, _ = await origin.http()
-            assert first == "GET /k HTTP/1.1" and headers["request-id"] == "r1"
+            request_line, headers, _ = await origin.http()
+            assert request_line == "GET /k HTTP/1.1" and headers["request-id"] == "r1"
             origin.write(http("200 OK", b"fetched"))
             assert await client.resp() == b"fetched"
 
@@ -73,8 +73,8 @@
             client = await router.client()
             client.write(book("r1", value=b"two\r\nlines"))
             origin = await router.origin.link()
-            first, headers, body = await origin.http()
-            assert first == "PUT /k HTTP/1.1" and body == b"two\r\nlines"
+            request_line, headers, body = await origin.http()
+            assert request_line == "PUT /k HTTP/1.1" and body == b"two\r\nlines"
             assert "k=5c0f" in headers["request-info"].split(",")
             origin.write(http("200 OK", b"receipt"))
             assert await client.resp() == b"receipt"
@@ -96,8 +96,8 @@
             by_request[b"r1"].write(HIT)
             assert [await client.resp() for _ in range(3)] == [b"value", b"later", b"PONG"]
 
-    async def wait_until_closed(router: RouterHarness, name: str) -> None:
-        while not router.host.requests[name].closed:
+    async def wait_until_closed(router: RouterHarness, request_id: str) -> None:
+        while not router.host.requests[request_id].closed:
             await asyncio.sleep(0)
 
     run(scenario)
@@ -196,7 +196,7 @@
     run(scenario)
 
 
-NO_FRAMING = [
+INVALID_FRAMING = [
     b"PING\r\n",
     b"\x00\xff",
     b"*x\r\n",
@@ -208,7 +208,7 @@
 ]
 
 
-@pytest.mark.parametrize("sent", NO_FRAMING)
+@pytest.mark.parametrize("sent", INVALID_FRAMING)
 def test_framing_error_closes_the_connection(sent: bytes) -> None:
     """Bytes read after it might be a part of a value and be executed as a command."""
 
@@ -240,7 +240,7 @@
 def test_client_without_a_valid_command_is_closed_in_time(
     sent: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Such connections stayed open for ever, each holding a descriptor that a client needed."""
+    """Otherwise such a connection stays open for ever and holds a descriptor that a client needs."""
     monkeypatch.setattr(clients, "FIRST_COMMAND_TIMEOUT_S", 0.2)
 
     async def scenario() -> None:
@@ -260,12 +260,12 @@
     async def scenario() -> None:
         async with RouterHarness() as router:
             client = await router.client()
-            names = [f"r{n}" for n in range(3 * MAX_PIPELINED)]
-            client.write(b"".join(read(n, info="c=unheard-of,d=900") for n in names) + read("last"))
+            request_ids = [f"r{n}" for n in range(3 * MAX_PIPELINED)]
+            client.write(b"".join(read(n, info="c=unheard-of,d=900") for n in request_ids) + read("last"))
             cache = await router.cache()
             assert (await cache.resp())[2] == b"last"
             cache.write(HIT)
-            for _ in names:
+            for _ in request_ids:
                 error(await client.resp())
             assert await client.resp() == b"value"
 
@@ -356,7 +356,7 @@
     """Above the descriptor limit no attempt and no call to discovery can open a socket."""
 
     async def scenario() -> None:
-        async with RouterHarness(clients=2) as router:
+        async with RouterHarness(client_budget=2) as router:
             idle = await router.client()
             busy, cache = await router.start_read()
             third = await router.client()
@@ -373,7 +373,7 @@
     """Closing the new connection itself to stay within the budget would lose its first request."""
 
     async def scenario() -> None:
-        async with RouterHarness(clients=1) as router:
+        async with RouterHarness(client_budget=1) as router:
             busy, cache = await router.start_read()
             newest = await router.client()
             newest.write(command("PING"))
@@ -462,13 +462,13 @@
 
 
 def test_disconnect_is_detected_while_reading_is_paused() -> None:
-    """At the pipeline limit reading is paused, asyncio reports no disconnect, and all requests went on."""
+    """At the pipeline limit reading is paused, asyncio reports no disconnect, and requests would go on."""
 
     async def scenario() -> None:
         async with RouterHarness() as router:
             client = await router.client()
-            long = "c=read,t=x,d=60000"
-            client.write(b"".join(read(f"r{n}", info=long) for n in range(MAX_PIPELINED + 1)))
+            long_deadline = "c=read,t=x,d=60000"
+            client.write(b"".join(read(f"r{n}", info=long_deadline) for n in range(MAX_PIPELINED + 1)))
             while len(router.host.requests) < MAX_PIPELINED:
                 await asyncio.sleep(0)
             client.close()
@@ -513,16 +513,16 @@
             client.write(b"".join(read(f"r{n}", info="c=read,t=x,d=60000") for n in range(count)))
             value = b"*3\r\n$%d\r\n%b\r\n$3\r\nhit\r\n$-1\r\n" % (size, b"v" * size)
 
-            async def serve(peer: ScriptedServer) -> None:
+            async def serve(server: ScriptedServer) -> None:
                 while True:
-                    link = await peer.link()
-                    name = (await link.resp())[2]
-                    if name != b"r%d" % (count - 1):  # the last one is never answered
+                    link = await server.link()
+                    request_id = (await link.resp())[2]
+                    if request_id != b"r%d" % (count - 1):  # the last one gets no response
                         link.write(value)
                     asyncio.get_running_loop().call_soon(links.append, link)
 
             links: list[Link] = []
-            tasks = [asyncio.create_task(serve(p)) for p in router.caches.values()]
+            tasks = [asyncio.create_task(serve(s)) for s in router.caches.values()]
             while connection.writable:
                 await asyncio.sleep(0.01)
             client.writer.write_eof()
@@ -546,7 +546,7 @@
             assert await client.resp() == b"PONG"
             client.close()
             await wait_for_disconnects(router)
-            assert not router.host.requests and all(p.links.empty() for p in router.caches.values())
+            assert not router.host.requests and all(s.links.empty() for s in router.caches.values())
 
     run(scenario)
 
@@ -555,7 +555,7 @@
 def test_dial_is_cancelled_when_the_client_disconnects(
     may_cancel: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Where attempts may not be cancelled, the request was still written when the dial completed."""
+    """Otherwise, if attempts may not be cancelled, the request is still written when the dial completes."""
 
     async def scenario() -> None:
         async with RouterHarness(replace(SETTINGS, may_cancel=may_cancel)) as router:
@@ -569,23 +569,23 @@
 
             monkeypatch.setattr(loop, "create_connection", delayed)
             client.write(read("r1"))
-            while not router.servers.dials:
+            while not router.cache_pool.dials:
                 await asyncio.sleep(0)
             client.close()
             await wait_for_disconnects(router)
             gate.set()
-            while router.servers.dials:
+            while router.cache_pool.dials:
                 await asyncio.sleep(0)
             await asyncio.sleep(0.05)  # time for a connection to reach the cache's end
-            assert all(p.links.empty() for p in router.caches.values())
-            assert not router.servers.connections and not router.host.router.attempts
+            assert all(s.links.empty() for s in router.caches.values())
+            assert not router.cache_pool.connections and not router.host.router.attempts
 
     run(scenario)
 
 
 @pytest.mark.parametrize("change", ["drains", "is gone", "has moved", "started again"])
 def test_late_dial_sends_nothing_to_a_server_that(change: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    """The request was written when the dial completed, although the list had changed in the meantime."""
+    """Otherwise the request is written when the dial completes, although the list has changed meanwhile."""
 
     async def scenario() -> None:
         async with RouterHarness() as router:
@@ -618,7 +618,7 @@
             gate.set()
             second.write(HIT)
             assert await client.resp() == b"value"
-            while router.servers.dials:
+            while router.cache_pool.dials:
                 await asyncio.sleep(0)
             await asyncio.sleep(0.05)  # time for a connection to reach the server's end
             assert router.caches["a"].links.empty() and router.caches["b"].links.empty()
@@ -627,7 +627,7 @@
 
 
 def test_clients_in_the_accept_queue_are_served_at_shutdown() -> None:
-    """The kernel had accepted them. Closing the listener reset them, and their commands were lost."""
+    """The kernel has accepted them. Closing the listener resets them, and their commands are lost."""
 
     async def scenario() -> None:
         async with RouterHarness() as router:
@@ -645,7 +645,7 @@
 
 @pytest.mark.parametrize("may_cancel", [True, False])
 def test_all_requests_are_answered_before_exit(may_cancel: bool) -> None:
-    """Requests at a hanging server were lost if their deadlines were later than the process's exit."""
+    """Requests at a hanging server are lost if their deadlines are later than the process's exit."""
 
     async def scenario() -> None:
         async with RouterHarness(replace(SETTINGS, may_cancel=may_cancel, second_copies=False)) as router:
@@ -693,7 +693,7 @@
     run(scenario)
 
 
-def test_useless_sends_are_moot_and_only_one_response_is_sent(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_unneeded_attempts_stay_unsent_and_only_one_response_is_sent(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
         async with RouterHarness(replace(SETTINGS, max_attempts=1)) as router:
             seen: list[api.Outcome] = []
@@ -714,8 +714,8 @@
             assert await client.resp() == b"PONG"
             outcomes = [(o.attempt, o.status, o.request_done) for o in seen]
             # The first was still being dialled: it was never sent either, and cancelling it has no effect.
-            moot = api.Status.UNSENT
-            assert outcomes == [(1, moot, False), (0, moot, True), (2, moot, True)]
+            unsent = api.Status.UNSENT
+            assert outcomes == [(1, unsent, False), (0, unsent, True), (2, unsent, True)]
 
     run(scenario)
 
--- a/tests/test_net_peers.py
+++ b/tests/test_net_peers.py
@@ -30,7 +30,7 @@
             loop = asyncio.get_running_loop()
             peers.broadcast(b"told")
             assert await loop.sock_recv(peer, 512) == b"told"
-            peers.broadcast(b"")  # must not be sent, nor the next
+            peers.broadcast(b"")  # neither this nor the next may be sent
             peers.broadcast(b"x" * 257)
             peers.broadcast(b"next")
             assert await loop.sock_recv(peer, 512) == b"next"
@@ -60,9 +60,9 @@
 def test_host_passes_messages_to_and_from_the_module() -> None:
     async def scenario() -> None:
         async with RouterHarness() as router:
-            told = Demand()
-            told.add(5)
-            router.host.on_peer_message(told.message([], now=router.host.clock.now()))
+            sender = Demand()
+            sender.add(5)
+            router.host.on_peer_message(sender.message([], now=router.host.clock.now()))
             router.host.on_peer_message(b"garbled")
             assert router.host.router.demand.history.counts == {5: 1}
             sent: list[bytes] = []
--- a/tests/test_net_pool.py
+++ b/tests/test_net_pool.py
@@ -29,10 +29,10 @@
         self.pool = pool
         self.results: asyncio.Queue[tuple[Status, bytes]] = asyncio.Queue()
 
-    async def start_and_receive(self, peer: ScriptedServer) -> Link:
-        """Start an attempt and returns the connection on which the peer has received it."""
-        self.start(peer.address)
-        link = await peer.link()
+    async def start_and_receive(self, server: ScriptedServer) -> Link:
+        """Start an attempt and return the connection on which the server has received it."""
+        self.start(server.address)
+        link = await server.link()
         assert (await link.resp())[2] == b"r1"
         return link
 
@@ -60,17 +60,17 @@
 )
 def test_responses_of_a_cache_server(response: bytes, status: Status, value: bytes) -> None:
     async def scenario() -> None:
-        async with ScriptedServer() as peer:
+        async with ScriptedServer() as server:
             attempts = cache_attempts()
-            attempts.start(peer.address)
-            link = await peer.link()
+            attempts.start(server.address)
+            link = await server.link()
             *parts, info = await link.resp()
             assert parts == [b"C.GET", b"k", b"r1"]
-            assert info.startswith(b"c=read,d=") and 0 < int(info[9:]) < 500  # less what the dial took
+            assert info.startswith(b"c=read,d=") and 0 < int(info[9:]) < 500  # less the time of the dial
             link.write(response)
             assert await attempts.result() == (status, value)
             await asyncio.sleep(2 * pools.REUSE_DELAY_S)
-            attempts.start(peer.address)  # on the same connection
+            attempts.start(server.address)  # on the same connection
             await link.resp()
             attempts.pool.close()
 
@@ -94,9 +94,9 @@
     """The request may have run, and what follows could be taken for the response to a later request."""
 
     async def scenario() -> None:
-        async with ScriptedServer() as peer:
+        async with ScriptedServer() as server:
             attempts = cache_attempts()
-            link = await attempts.start_and_receive(peer)
+            link = await attempts.start_and_receive(server)
             link.write(response)
             assert await attempts.result() == (Status.ERROR, b"")
             assert await link.wait_closed() and not attempts.pool.connections
@@ -114,9 +114,9 @@
     """
 
     async def scenario() -> None:
-        async with ScriptedServer() as peer:
+        async with ScriptedServer() as server:
             attempts = cache_attempts()
-            link = await attempts.start_and_receive(peer)
+            link = await attempts.start_and_receive(server)
             link.write(HIT + extra)
             assert await attempts.result() == (Status.OK, b"value")
             assert await link.wait_closed() and not attempts.pool.idle
@@ -126,12 +126,12 @@
 
 @pytest.mark.parametrize("extra", [HIT, HIT[:1], b"garbage", b"\x00"])
 def test_bytes_within_the_reuse_delay_close_the_connection(extra: bytes) -> None:
-    """A faulty second response comes a few milliseconds after the first."""
+    """A faulty second response comes up to 4 ms after the first and would be taken for the next one."""
 
     async def scenario() -> None:
-        async with ScriptedServer() as peer:
+        async with ScriptedServer() as server:
             attempts = cache_attempts()
-            link = await attempts.start_and_receive(peer)
+            link = await attempts.start_and_receive(server)
             link.write(HIT)
             assert await attempts.result() == (Status.OK, b"value")
             link.write(extra)
@@ -143,9 +143,9 @@
 @pytest.mark.parametrize("ending", ["close", "reset"])
 def test_break_after_the_last_byte_is_a_reset(ending: str) -> None:
     async def scenario() -> None:
-        async with ScriptedServer() as peer:
+        async with ScriptedServer() as server:
             attempts = cache_attempts()
-            link = await attempts.start_and_receive(peer)
+            link = await attempts.start_and_receive(server)
             getattr(link, ending)()
             assert await attempts.result() == (Status.RESET, b"")
 
@@ -153,13 +153,13 @@
 
 
 def test_break_before_the_last_byte_is_a_failed_connection() -> None:
-    """As a reset, an unsafe request could not be sent elsewhere, although it cannot have run."""
+    """Reported as a reset, an unsafe request could not be sent elsewhere, although it cannot have run."""
 
     async def scenario() -> None:
-        async with ScriptedServer() as peer:
+        async with ScriptedServer() as server:
             attempts = cache_attempts()
-            attempts.start(peer.address, HUGE)
-            link = await peer.link()
+            attempts.start(server.address, HUGE)
+            link = await server.link()
             await link.reader.read(1)
             link.reset()
             assert await attempts.result() == (Status.CONNECT_FAILED, b"")
@@ -169,10 +169,10 @@
 
 def test_break_after_a_request_written_in_parts_is_a_reset() -> None:
     async def scenario() -> None:
-        async with ScriptedServer() as peer:
+        async with ScriptedServer() as server:
             attempts = cache_attempts()
-            attempts.start(peer.address, HUGE)
-            link = await peer.link()
+            attempts.start(server.address, HUGE)
+            link = await server.link()
             assert len(await link.resp()) == 5
             link.reset()
             assert await attempts.result() == (Status.RESET, b"")
@@ -182,8 +182,8 @@
 
 def test_refused_connection_is_a_failed_connection() -> None:
     async def scenario() -> None:
-        async with ScriptedServer() as peer:
-            address = peer.address
+        async with ScriptedServer() as server:
+            address = server.address
         attempts = cache_attempts()
         attempts.start(address)
         assert await attempts.result() == (Status.CONNECT_FAILED, b"")
@@ -198,7 +198,7 @@
     async def scenario() -> None:
         with socket.socket() as full, socket.socket() as first:
             full.bind(("127.0.0.1", 0))
-            full.listen(0)  # a backlog of one, which `first` takes; the next SYN gets no answer
+            full.listen(0)  # a backlog of one, which `first` takes; the next SYN gets no reply
             first.connect(full.getsockname())
             attempts = cache_attempts(dial=0.05)
             attempts.start(format_address(full.getsockname()))
@@ -208,16 +208,16 @@
 
 
 def test_second_response_is_not_taken_for_that_to_the_next_request() -> None:
-    """It came milliseconds after the first, when the next request had already been written."""
+    """It comes milliseconds after the first, when the next request may already have been written."""
 
     async def scenario() -> None:
-        async with ScriptedServer() as peer:
+        async with ScriptedServer() as server:
             attempts = cache_attempts()
-            first = await attempts.start_and_receive(peer)
+            first = await attempts.start_and_receive(server)
             first.write(HIT)
             assert await attempts.result() == (Status.OK, b"value")
             # On a new connection, as the first one may not be reused yet.
-            second = await attempts.start_and_receive(peer)
+            second = await attempts.start_and_receive(server)
             first.write(HIT.replace(b"value", b"other"))
             assert await first.wait_closed() and attempts.results.empty()
             second.write(HIT)
@@ -229,7 +229,7 @@
 
 def test_time_left_sent_to_the_server_excludes_the_dial(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
-        async with ScriptedServer() as peer:
+        async with ScriptedServer() as server:
             loop, attempts = asyncio.get_running_loop(), cache_attempts()
             connect = loop.create_connection
 
@@ -238,8 +238,8 @@
                 return await connect(*args)
 
             monkeypatch.setattr(loop, "create_connection", slow)
-            attempts.start(peer.address)
-            *_, info = await (await peer.link()).resp()
+            attempts.start(server.address)
+            *_, info = await (await server.link()).resp()
             assert 0 < int(info.removeprefix(b"c=read,d=")) <= 400
             attempts.pool.close()
 
@@ -276,9 +276,9 @@
     """A connection reused just as its server closes it loses the request written to it."""
 
     async def scenario() -> None:
-        async with ScriptedServer() as peer:
+        async with ScriptedServer() as server:
             attempts = cache_attempts(idle=pools.IDLE_MARGIN_S + 0.01)
-            link = await attempts.start_and_receive(peer)
+            link = await attempts.start_and_receive(server)
             link.write(HIT)
             assert await attempts.result() == (Status.OK, b"value")
             assert await link.wait_closed() and not attempts.pool.connections
@@ -290,10 +290,10 @@
     """Otherwise the server would go on working, and its late response would meet the next request."""
 
     async def scenario() -> None:
-        async with ScriptedServer() as peer:
+        async with ScriptedServer() as server:
             attempts = cache_attempts()
-            exchange = attempts.start(peer.address)
-            link = await peer.link()
+            exchange = attempts.start(server.address)
+            link = await server.link()
             await link.resp()
             exchange.abandon()
             assert await link.wait_closed() and attempts.results.empty()
@@ -303,14 +303,14 @@
 
 def test_abandoning_while_dialling_sends_nothing() -> None:
     async def scenario() -> None:
-        async with ScriptedServer() as peer:
+        async with ScriptedServer() as server:
             attempts = cache_attempts()
-            exchange = attempts.start(peer.address)
+            exchange = attempts.start(server.address)
             exchange.abandon()
             assert exchange.dial is not None
             await asyncio.wait([exchange.dial])
-            attempts.start(peer.address)
-            link = await peer.link()
+            attempts.start(server.address)
+            link = await server.link()
             assert (await link.resp())[2] == b"r1"
             assert len(attempts.pool.connections) == 1 and attempts.results.empty()
             attempts.pool.close()
@@ -340,10 +340,10 @@
 
 
 async def start_at_origin(
-    peer: ScriptedServer, attempts: AttemptRecorder, command: Command = GET
+    server: ScriptedServer, attempts: AttemptRecorder, command: Command = GET
 ) -> tuple[Link, str, dict[str, str], bytes]:
-    attempts.start(peer.address, command)
-    link = await peer.link()
+    attempts.start(server.address, command)
+    link = await server.link()
     return link, *await link.http()
 
 
@@ -366,17 +366,17 @@
 )
 def test_responses_of_the_origin(response: bytes, status: Status, value: bytes) -> None:
     async def scenario() -> None:
-        async with ScriptedServer() as peer:
+        async with ScriptedServer() as server:
             attempts = AttemptRecorder(Pool(OriginConnection, 8, 1.0, 60.0))
-            link, first, headers, _ = await start_at_origin(peer, attempts)
-            assert first == "GET /k HTTP/1.1"
+            link, request_line, headers, _ = await start_at_origin(server, attempts)
+            assert request_line == "GET /k HTTP/1.1"
             info = headers["request-info"]
             assert headers["request-id"] == "r1"
-            assert info.startswith("c=read,d=") and 0 < int(info[9:]) < 500  # less what the dial took
+            assert info.startswith("c=read,d=") and 0 < int(info[9:]) < 500  # less the time of the dial
             link.write(response)
             assert await attempts.result() == (status, value)
             await asyncio.sleep(2 * pools.REUSE_DELAY_S)
-            attempts.start(peer.address)  # on the same connection
+            attempts.start(server.address)  # on the same connection
             await link.http()
             attempts.pool.close()
 
@@ -402,9 +402,9 @@
 )
 def test_malformed_and_truncated_responses_of_the_origin(response: bytes, status: Status) -> None:
     async def scenario() -> None:
-        async with ScriptedServer() as peer:
+        async with ScriptedServer() as server:
             attempts = AttemptRecorder(Pool(OriginConnection, 8, 1.0, 60.0))
-            link, *_ = await start_at_origin(peer, attempts)
+            link, *_ = await start_at_origin(server, attempts)
             link.write(response)
             link.close()
             assert (await attempts.result())[0] is status
@@ -423,9 +423,9 @@
         super().data_received(data)
 
 
-def close_with_reset(peer: socket.socket) -> None:
-    peer.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-    peer.close()
+def close_with_reset(accepted: socket.socket) -> None:
+    accepted.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+    accepted.close()
 
 
 async def result_of_closed_response(data: bytes, reset: bool, one_turn: bool) -> tuple[Status, bytes]:
@@ -434,23 +434,23 @@
     With `one_turn` the event loop sees the end in the same turn as the data, else in a later one.
     """
     loop = asyncio.get_running_loop()
-    with socket.create_server(("127.0.0.1", 0)) as server:
-        server.setblocking(False)
+    with socket.create_server(("127.0.0.1", 0)) as listener:
+        listener.setblocking(False)
         attempts = AttemptRecorder(Pool(CountingConnection, 8, 1.0, 60.0))
-        attempts.start(format_address(server.getsockname()))
-        peer, _ = await loop.sock_accept(server)
+        attempts.start(format_address(listener.getsockname()))
+        accepted, _ = await loop.sock_accept(listener)
         request = b""
         while not request.endswith(b"\r\n\r\n"):
-            request += await loop.sock_recv(peer, 4096)
+            request += await loop.sock_recv(accepted, 4096)
         (connection,) = attempts.pool.connections
         assert isinstance(connection, CountingConnection)
-        peer.sendall(data)
+        accepted.sendall(data)
         while not one_turn and connection.received_bytes < len(data):
             await asyncio.sleep(0)
         if reset:
-            close_with_reset(peer)
+            close_with_reset(accepted)
         else:
-            peer.close()
+            accepted.close()
         outcome = await attempts.result()
         attempts.pool.close()
         return outcome
@@ -521,11 +521,11 @@
     """A key that contains another path would read or overwrite another object."""
 
     async def scenario() -> None:
-        async with ScriptedServer() as peer:
+        async with ScriptedServer() as server:
             attempts = AttemptRecorder(Pool(OriginConnection, 8, 1.0, 60.0))
             put = Command(b"C.SET", key, b"r1", {"d": "900"}, 900, b"slot")
-            _, first, _, body = await start_at_origin(peer, attempts, put)
-            method, path, _ = first.split(" ")
+            _, request_line, _, body = await start_at_origin(server, attempts, put)
+            method, path, _ = request_line.split(" ")
             assert method == "PUT" and body == b"slot"
             assert not set(path[1:]) & set("/?# ") and path == "/" + "".join(
                 chr(c) if chr(c).isalnum() and c < 128 or c in b"-._~" else f"%{c:02X}" for c in key
@@ -539,10 +539,10 @@
     """Without an outcome, the attempt would hold its request until the deadline."""
 
     async def scenario() -> None:
-        async with ScriptedServer() as peer:
+        async with ScriptedServer() as server:
             attempts = AttemptRecorder(Pool(OriginConnection, 8, 1.0, 60.0))
-            attempts.start(peer.address, Command(b"C.GET", b"k", b"r1", {"x": "a\r\nb", "d": "9"}, 9))
+            attempts.start(server.address, Command(b"C.GET", b"k", b"r1", {"x": "a\r\nb", "d": "9"}, 9))
             assert await attempts.result() == (Status.CONNECT_FAILED, b"")
-            assert await (await peer.link()).wait_closed() and not attempts.pool.connections
+            assert await (await server.link()).wait_closed() and not attempts.pool.connections
 
     run(scenario)
--- a/tests/test_net_resp.py
+++ b/tests/test_net_resp.py
@@ -19,12 +19,12 @@
 
 @pytest.mark.parametrize("piece", [1, 2, 3, 7, 4096])
 def test_messages_are_read_alike_in_pieces_of_any_size(piece: int) -> None:
-    text, reader, got = b"".join(t for t, _ in MESSAGES), Reader(), []
-    for at in range(0, len(text), piece):
-        reader.feed(text[at : at + piece])
+    text, reader, received = b"".join(t for t, _ in MESSAGES), Reader(), []
+    for start in range(0, len(text), piece):
+        reader.feed(text[start : start + piece])
         while (message := reader.gets()) is not INCOMPLETE:
-            got.append(message.decode() if message == b"OK" else message)
-    assert got == [m for _, m in MESSAGES] and reader.at_boundary()
+            received.append(message.decode() if message == b"OK" else message)
+    assert received == [m for _, m in MESSAGES] and reader.at_boundary()
 
 
 @pytest.mark.parametrize(
@@ -33,13 +33,13 @@
 @pytest.mark.parametrize("piece", [1, 5, 99999])
 def test_messages_before_a_bad_header_are_still_returned(header: bytes, piece: int) -> None:
     """An error is raised after the messages before it, and nothing after it is read."""
-    text, reader, got = b"*1\r\n$4\r\nPING\r\n" + header + b"*1\r\n$4\r\nPING\r\n", Reader(), []
+    text, reader, received = b"*1\r\n$4\r\nPING\r\n" + header + b"*1\r\n$4\r\nPING\r\n", Reader(), []
     with pytest.raises(hiredis.ProtocolError):
-        for at in range(0, len(text), piece):
-            reader.feed(text[at : at + piece])
+        for start in range(0, len(text), piece):
+            reader.feed(text[start : start + piece])
             while (message := reader.gets()) is not INCOMPLETE:
-                got.append(message)
-    assert got == [[b"PING"]] and not reader.at_boundary()
+                received.append(message)
+    assert received == [[b"PING"]] and not reader.at_boundary()
 
 
 def test_a_line_without_an_end_is_not_buffered() -> None:
--- a/tests/test_net_turns.py
+++ b/tests/test_net_turns.py
@@ -1,7 +1,7 @@
-"""How much one turn of the event loop may do for one client, and the effect of internal errors.
+"""Limits on the work for one client in one turn of the event loop, and effects of internal errors.
 
-Both ends of a connection are in one thread here: what a test sends or closes by hand has reached the kernel
-before the router's event loop turns again, so the order of events is the one written in the test.
+Both ends of a connection are in one thread here: bytes and closes that a test sends by hand have reached the
+kernel before the router's event loop runs again, so events come in the order written in the test.
 """
 
 from __future__ import annotations
@@ -46,7 +46,7 @@
 
 
 def test_flood_from_one_client_does_not_delay_another(monkeypatch: pytest.MonkeyPatch) -> None:
-    """All received commands were processed in one turn, which delayed other clients and all timers."""
+    """Without a limit, all received commands are processed in one turn; other clients and all timers wait."""
 
     async def scenario() -> None:
         async with RouterHarness() as router:
@@ -108,12 +108,12 @@
 
 
 def test_nothing_is_sent_after_a_dial_that_outlasts_its_client(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A dial that completed between two polls sent its request, although the client had disconnected."""
+    """A dial that completes between two polls must not send a request whose client has disconnected."""
     monkeypatch.setattr(listener, "DISCONNECT_POLL_S", NEVER_S)
 
     async def scenario() -> None:
         async with LargeHarness() as router:
-            client, out = await paused_client(router)
+            client, attempt_links = await paused_client(router)
             loop, gate = asyncio.get_running_loop(), asyncio.Event()
             connect = loop.create_connection
 
@@ -122,15 +122,15 @@
                 return await connect(*args)
 
             monkeypatch.setattr(loop, "create_connection", delayed)
-            send_now(out[b"r0"], b"*3\r\n$-1\r\n$4\r\nmiss\r\n$-1\r\n")
-            while not router.origins.dials:
+            send_now(attempt_links[b"r0"], b"*3\r\n$-1\r\n$4\r\nmiss\r\n$-1\r\n")
+            while not router.origin_pool.dials:
                 await asyncio.sleep(0)
             close_now(client)
             gate.set()
-            while router.origins.dials:
+            while router.origin_pool.dials:
                 await asyncio.sleep(0)
             await run_loop()
-            assert not router.origins.connections and not router.host.router.pending
+            assert not router.origin_pool.connections and not router.host.router.pending
             assert router.origin.links.empty() or await (await router.origin.link()).wait_closed()
 
     run(scenario)
@@ -140,7 +140,7 @@
 
 
 def test_error_in_one_action_does_not_stop_the_next(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The response that followed it was lost."""
+    """An exception in one action would otherwise lose the response that follows it."""
 
     async def scenario() -> None:
         async with RouterHarness() as router:
@@ -163,7 +163,7 @@
 
 
 def test_error_in_the_module_affects_no_other_request(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Events queued behind it waited for the next event, and its own request got no response."""
+    """Otherwise events queued behind it wait for the next event, and its own request gets no response."""
 
     async def scenario() -> None:
         async with RouterHarness() as router:
--- a/tests/test_terms_clients.py
+++ b/tests/test_terms_clients.py
@@ -1,7 +1,7 @@
-"""Requirements on clients: those that leave, those that use up descriptors, and how connections are closed.
+"""Requirements on clients: disconnects, idle clients that use up descriptors, and how connections are closed.
 
-Both ends of a connection are in one thread here: what a test sends or closes by hand is in the kernel before
-the router's event loop runs again, so that events come in the order written.
+Both ends of a connection are in one thread here: bytes and closes that a test sends by hand have reached the
+kernel before the router's event loop runs again, so events come in the order written in the test.
 """
 
 from __future__ import annotations
@@ -40,7 +40,7 @@
 
 LONG_DEADLINE = "c=read,t=x,d=60000"
 NEVER_S = 3600.0
-LOOP_TURNS = 20  # more than any event needs until the write that it causes
+LOOP_TURNS = 20  # of the event loop, more than pass between any event and the write that it causes
 
 
 def send_now(link: Link, data: bytes) -> None:
@@ -54,7 +54,7 @@
 
 
 async def run_loop(count: int = LOOP_TURNS) -> None:
-    """Run some iterations of the event loop without waiting."""
+    """Run some turns of the event loop without waiting."""
     for _ in range(count):
         await asyncio.sleep(0)
 
@@ -75,10 +75,10 @@
 class RawClient:
     """A client on a plain socket, which sees each byte, FIN and reset as the kernel reports it."""
 
-    def __init__(self, router: RouterHarness, room: int | None = None) -> None:
+    def __init__(self, router: RouterHarness, receive_buffer: int | None = None) -> None:
         self.socket = socket.socket()
-        if room is not None:
-            self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, room)
+        if receive_buffer is not None:
+            self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, receive_buffer)
         self.socket.connect(router.listener.socket.getsockname())  # the kernel accepts
         self.socket.setblocking(False)
 
@@ -93,7 +93,7 @@
         return data
 
     async def ping(self) -> Self:
-        """Send a PING and wait for its answer."""
+        """Send a PING and wait for its response."""
         self.send(command("PING"))
         assert await asyncio.get_running_loop().sock_recv(self.socket, 100) == b"+PONG\r\n"
         return self
@@ -105,11 +105,11 @@
         self.socket.close()
 
 
-def all_unused(router: RouterHarness) -> bool:
+def no_new_connections(router: RouterHarness) -> bool:
     """Return whether no server has a connection that the test has not taken, and none is being dialled."""
-    scripted = (*router.caches.values(), router.origin)
-    dials = router.servers.dials | router.origins.dials
-    return all(s.links.empty() for s in scripted) and not dials
+    servers = (*router.caches.values(), router.origin)
+    dials = router.cache_pool.dials | router.origin_pool.dials
+    return all(s.links.empty() for s in servers) and not dials
 
 
 async def paused_client(
@@ -118,24 +118,24 @@
     """Return a client that the router has paused reading, and the attempts of the commands taken, by id."""
     client = await router.client()
     client.write(b"".join(read(f"r{n}", f"k{n}", LONG_DEADLINE) for n in range(commands)))
-    out: dict[bytes, Link] = {}
+    attempt_links: dict[bytes, Link] = {}
 
     async def collect(server: ScriptedServer) -> None:
         while True:
             link = await server.link()
-            out[(await link.resp())[2]] = link
+            attempt_links[(await link.resp())[2]] = link
 
-    tasks = [asyncio.create_task(collect(p)) for p in router.caches.values()]
-    while len(out) < min(commands, MAX_PIPELINED):
+    tasks = [asyncio.create_task(collect(s)) for s in router.caches.values()]
+    while len(attempt_links) < min(commands, MAX_PIPELINED):
         await asyncio.sleep(0)
     for task in tasks:
         task.cancel()
     (connection,) = router.listener.connections
     assert not connection.transport.is_reading()
-    return client, out
+    return client, attempt_links
 
 
-# A client that has left: no attempt starts more than 0.1 s later
+# Clients that have disconnected: no attempt starts more than 0.1 s later
 
 
 ONE_COPY = replace(SETTINGS, second_copies=False)
@@ -146,7 +146,7 @@
 
     def __init__(self, settings: Any = ONE_COPY) -> None:
         super().__init__(settings)
-        self.servers.budget = 64
+        self.cache_pool.budget = 64
 
     def list(self, *names: str) -> None:
         super().list(*names)
@@ -155,13 +155,13 @@
 
 
 def test_a_paused_client_that_leaves_is_noticed_in_time(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The check ran every 0.1 s: with the delay of a busy loop on top, attempts started later than that."""
+    """With a poll every 0.1 s, the delay of a busy event loop on top lets attempts start too late."""
 
     async def scenario() -> None:
         async with LargeHarness() as router:
             clock = SkippedClock(monkeypatch)
             client, _ = await paused_client(router)
-            await clock.advance(0.1)  # a check has just run, so the next one is as far off as possible
+            await clock.advance(0.1)  # a poll has just run, so the next one is as far off as possible
             close_now(client)
             await clock.advance(0.05)
             assert not router.listener.connections and not router.host.router.pending
@@ -170,45 +170,45 @@
 
 
 def test_no_further_attempt_starts_before_a_check(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A miss that arrived after the client's FIN went on to the origin."""
+    """Otherwise a miss that arrives after the client's FIN goes on to the origin."""
     monkeypatch.setattr(listener, "DISCONNECT_POLL_S", NEVER_S)
 
     async def scenario() -> None:
         async with LargeHarness() as router:
-            client, out = await paused_client(router)
+            client, attempt_links = await paused_client(router)
             close_now(client)
-            send_now(out[b"r0"], MISS)
-            send_now(out[b"r1"], b"-BUSY\r\n")
-            out[b"r2"].reset()
+            send_now(attempt_links[b"r0"], MISS)
+            send_now(attempt_links[b"r1"], b"-BUSY\r\n")
+            attempt_links[b"r2"].reset()
             await run_loop()
-            assert all_unused(router) and not router.host.router.pending
+            assert no_new_connections(router) and not router.host.router.pending
 
     run(scenario)
 
 
 def test_no_buffered_command_is_taken_of_a_client_that_has_left(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Each answer made room for a command buffered in the router, though its client had left."""
+    """Each response makes room for a command buffered in the router, whose client has disconnected."""
     monkeypatch.setattr(listener, "DISCONNECT_POLL_S", NEVER_S)
 
     async def scenario() -> None:
         async with LargeHarness() as router:
-            client, out = await paused_client(router)
+            client, attempt_links = await paused_client(router)
             taken = set(router.host.requests)
             close_now(client)
-            send_now(out[b"r0"], HIT)
+            send_now(attempt_links[b"r0"], HIT)
             await run_loop()
-            assert set(router.host.requests) <= taken and all_unused(router)
+            assert set(router.host.requests) <= taken and no_new_connections(router)
             assert not router.listener.connections and not router.host.router.pending
 
     run(scenario)
 
 
 def test_no_dial_goes_on_for_a_paused_client_that_has_left(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The check drops the dial before it can complete and have the request written."""
+    """The poll cancels the dial before it completes and the request is written."""
 
     async def scenario() -> None:
         async with LargeHarness() as router:
-            client, out = await paused_client(router)
+            client, attempt_links = await paused_client(router)
             loop, gate, clock = asyncio.get_running_loop(), asyncio.Event(), SkippedClock(monkeypatch)
             connect = loop.create_connection
 
@@ -217,26 +217,26 @@
                 return await connect(*args)
 
             monkeypatch.setattr(loop, "create_connection", delayed)
-            send_now(out[b"r0"], MISS)
-            while not router.origins.dials:
+            send_now(attempt_links[b"r0"], MISS)
+            while not router.origin_pool.dials:
                 await asyncio.sleep(0)
             await clock.advance(0.1)
             close_now(client)
             await clock.advance(0.05)
             gate.set()
             await run_loop()
-            assert all_unused(router) and not router.origins.connections
+            assert no_new_connections(router) and not router.origin_pool.connections
 
     run(scenario)
 
 
 @pytest.mark.parametrize("further", ["to the origin", "to another cache"])
-def test_events_of_one_loop_iteration_start_no_attempt_for_a_client_that_has_left(further: str) -> None:
-    """A kept-alive connection writes the request at once, before the loop handles the client's FIN."""
+def test_events_of_one_loop_turn_start_no_attempt_for_a_client_that_has_left(further: str) -> None:
+    """An idle connection carries the request at once, before the event loop handles the client's FIN."""
 
     async def scenario() -> None:
         async with RouterHarness(replace(ONE_COPY, may_cancel=False)) as router:
-            # kept-alive connections everywhere: the origin serves a write, each cache server a read
+            # Idle connections everywhere: the origin serves a write, each cache server a read.
             writer = await router.client()
             writer.write(book("w1"))
             origin = await router.origin.link()
@@ -252,22 +252,24 @@
                 links[name].write(HIT)
                 await writer.resp()
             router.list("a", "b")
-            await asyncio.sleep(0.03)  # a connection rests after an answer before it is reused
+            await asyncio.sleep(0.03)  # until connections may be reused after a response
             client = await router.client()
             client.write(read("r1"))
-            while not (busy := [c for c in router.servers.connections if c.exchange is not None]):
+            while not (busy := [c for c in router.cache_pool.connections if c.exchange is not None]):
                 await asyncio.sleep(0)
             (name,) = (n for n, p in router.caches.items() if p.address == busy[0].address)
             assert (await links[name].resp())[2] == b"r1"
-            others = [c for c in router.servers.connections | router.origins.connections if c is not busy[0]]
+            others = [
+                c for c in router.cache_pool.connections | router.origin_pool.connections if c is not busy[0]
+            ]
             assert len(others) == 2 and all(c.exchange is None for c in others)
             send_now(links[name], MISS if further == "to the origin" else b"-ERR failed\r\n")
             close_now(client)
-            router.servers.dial_timeout = 0.0
+            router.cache_pool.dial_timeout = 0.0
             await run_loop()
             assert router.host.requests["r1"].attempt_count <= 2 and router.host.requests["r1"].closed
             written = [c.exchange for c in others]
-            assert written == [None, None] and all_unused(router)
+            assert written == [None, None] and no_new_connections(router)
 
     run(scenario)
 
@@ -275,8 +277,8 @@
 # How connections are closed
 
 
-def test_small_answers_are_not_held_back() -> None:
-    """What the kernel delays is lost if the connection is closed with unread bytes."""
+def test_small_responses_are_not_held_back() -> None:
+    """A response that the kernel delays is lost if the connection is closed with unread bytes."""
 
     async def scenario() -> None:
         async with RouterHarness() as router:
@@ -284,35 +286,35 @@
             client.write(command("PING"))
             assert await client.resp() == b"PONG"
             (connection,) = router.listener.connections
-            ours = connection.transport.get_extra_info("socket")
-            assert ours.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
+            router_socket = connection.transport.get_extra_info("socket")
+            assert router_socket.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
 
     run(scenario)
 
 
-@pytest.mark.parametrize("why", ["to make room", "at shutdown"])
+@pytest.mark.parametrize("reason", ["to make room", "at shutdown"])
 def test_a_request_that_crosses_the_close_gets_a_fin_and_is_not_sent_on(
-    why: str, monkeypatch: pytest.MonkeyPatch
+    reason: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The connection used to be reset. The client retries the request, so it must not be sent on here."""
+    """A reset could destroy responses. The client retries the request, so it must not be sent on here."""
 
     async def scenario() -> None:
-        async with RouterHarness(clients=8) as router:
+        async with RouterHarness(client_budget=8) as router:
             with RawClient(router) as client:
                 await client.ping()
                 (connection,) = router.listener.connections
-                idle, crossed = ClientConnection.is_idle, [read("late")]
+                is_idle, crossed = ClientConnection.is_idle, [read("late")]
 
                 def closing(checked: ClientConnection) -> bool:
-                    found = idle(checked)
-                    if found and checked is connection and crossed:
+                    idle = is_idle(checked)
+                    if idle and checked is connection and crossed:
                         client.send(crossed.pop(0))  # right after the check
-                    return found
+                    return idle
 
                 monkeypatch.setattr(ClientConnection, "is_idle", closing)
                 stop = None
                 others = []
-                if why == "to make room":
+                if reason == "to make room":
                     others = [await RawClient(router).ping() for _ in range(7)]
                 else:
                     stop = asyncio.create_task(router.listener.stop(0.0, 5.0))
@@ -321,7 +323,7 @@
                 await run_loop()
                 assert await client.read_all() == b""  # a reset would raise
                 assert connection in router.listener.lingering and not crossed
-                assert not router.host.requests and all_unused(router)
+                assert not router.host.requests and no_new_connections(router)
             if stop is not None:
                 await stop
             for other in others:
@@ -332,18 +334,18 @@
     run(scenario)
 
 
-@pytest.mark.parametrize("junk", [b"PING\r\n", b"*4\r\n$900000000\r\n"])
-def test_an_error_line_arrives_though_the_client_sends_more(junk: bytes) -> None:
-    """Closed with bytes not read yet, the connection was reset."""
+@pytest.mark.parametrize("invalid", [b"PING\r\n", b"*4\r\n$900000000\r\n"])
+def test_an_error_line_arrives_though_the_client_sends_more(invalid: bytes) -> None:
+    """Closing a connection with unread bytes resets it, and the error line can be lost."""
 
     async def scenario() -> None:
         async with RouterHarness() as router:
             with RawClient(router) as client:
                 sent = asyncio.create_task(
-                    asyncio.get_running_loop().sock_sendall(client.socket, junk + b"x" * (1 << 19))
+                    asyncio.get_running_loop().sock_sendall(client.socket, invalid + b"x" * (1 << 19))
                 )
-                answer = await client.read_all()
-                assert answer.startswith(b"-ERR ") and answer.count(b"\r\n") == 1
+                response = await client.read_all()
+                assert response.startswith(b"-ERR ") and response.count(b"\r\n") == 1
                 await sent
                 client.send(read("late"))
                 await run_loop()
@@ -352,18 +354,18 @@
     run(scenario)
 
 
-def test_the_last_answer_arrives_whole_though_a_request_crosses_the_shutdown() -> None:
-    """Part of it was still in the send buffer at shutdown, and the close reset the connection."""
+def test_the_last_response_arrives_whole_though_a_request_crosses_the_shutdown() -> None:
+    """With a part of it in the write buffer at shutdown, a plain close would reset the connection."""
 
     async def scenario() -> None:
         async with RouterHarness() as router:
-            with RawClient(router, room=4096) as client:
+            with RawClient(router, receive_buffer=4096) as client:
                 client.send(read("r1"))
                 cache = await router.cache()
                 await cache.resp()
                 (connection,) = router.listener.connections
-                ours = connection.transport.get_extra_info("socket")
-                ours.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
+                router_socket = connection.transport.get_extra_info("socket")
+                router_socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
                 value = b"v" * 65_536
                 cache.write(b"*3\r\n$%d\r\n%b\r\n$3\r\nhit\r\n$-1\r\n" % (len(value), value))
                 while connection.slots:
@@ -397,7 +399,7 @@
 
 
 def test_only_a_limited_amount_is_read_from_a_client_after_the_close() -> None:
-    """Guards against a client that keeps a closed connection busy with data that is thrown away."""
+    """Otherwise a client could keep a closed connection open with data that is discarded."""
 
     async def scenario() -> None:
         async with RouterHarness() as router:
@@ -412,10 +414,10 @@
 
 
 def test_lingering_connections_are_closed_first_when_descriptors_are_short() -> None:
-    """Each holds a descriptor, and new clients would find none."""
+    """Each holds a descriptor that a new client may need."""
 
     async def scenario() -> None:
-        async with RouterHarness(clients=8) as router:
+        async with RouterHarness(client_budget=8) as router:
             listener, raw_clients = router.listener, []
             for _ in range(20):
                 raw_clients.append(await RawClient(router).ping())
@@ -465,9 +467,9 @@
 
 
 async def serve(server: ScriptedServer) -> None:
-    """Answer every read on every connection."""
+    """Respond to every read on every connection."""
 
-    async def answer(link: Link) -> None:
+    async def respond(link: Link) -> None:
         with suppress(AssertionError, ConnectionError):  # until the program closes the connection
             while True:
                 await link.resp()
@@ -475,7 +477,7 @@
 
     tasks = []
     while True:
-        tasks.append(asyncio.create_task(answer(await server.link())))
+        tasks.append(asyncio.create_task(respond(await server.link())))
 
 
 def connect_idle(address: tuple[str, int], count: int, sent: bytes) -> list[socket.socket]:
@@ -503,7 +505,11 @@
     [
         (PING, 400, MAX_SOCKETS),
         (b"", 400, MAX_SOCKETS),
-        (PING + b"*4\r\n$5\r\nC.G", 150, MAX_SOCKETS),  # a half command, which may take 2 s to complete
+        (
+            PING + b"*4\r\n$5\r\nC.G",
+            150,
+            MAX_SOCKETS,
+        ),  # an incomplete command, which may take 2 s to complete
         (PING, 400, 96),  # fewer than configured
         (b"", 400, 96),
     ],
@@ -513,7 +519,8 @@
 ) -> None:
     """While discovery is down clients are served and servers dialled; it is called as soon as it is back.
 
-    Half commands held their descriptors for ever, and with none left nothing was ever closed.
+    Incomplete commands would otherwise hold their descriptors for ever, and with none left no connection
+    would be accepted or closed.
     """
 
     async def scenario() -> None:
@@ -541,8 +548,8 @@
                     assert not failed
                 assert len(failed) <= 1 + (loop.time() - since) / listener.ACCEPT_RETRY_S  # no busy loop
                 back.server.close()
-                for each in idle:
-                    each.close()
+                for idle_socket in idle:
+                    idle_socket.close()
             for task in servers:
                 task.cancel()
 
@@ -552,59 +559,59 @@
 def test_connections_pending_when_accepting_ends_stay_within_the_budget(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """All were accepted at once, past the limit, and idle ones were only closed at the very end."""
+    """Accepted all at once they exceed the limit, if idle ones are only closed at the end."""
 
     async def scenario() -> None:
-        async with RouterHarness(clients=8) as router:
-            listener, most = router.listener, 0
+        async with RouterHarness(client_budget=8) as router:
+            listener, max_open = router.listener, 0
             made = ClientConnection.connection_made
 
             def count(connection: ClientConnection, transport: asyncio.BaseTransport) -> None:
-                nonlocal most
+                nonlocal max_open
                 made(connection, transport)
-                most = max(most, len(listener.connections) + len(listener.lingering))
+                max_open = max(max_open, len(listener.connections) + len(listener.lingering))
 
             monkeypatch.setattr(ClientConnection, "connection_made", count)
             idle = [await RawClient(router).ping() for _ in range(7)]
             late = [
                 RawClient(router) for _ in range(30)
             ]  # the loop has not run since, so none is accepted yet
-            for each in late:
-                each.send(PING)
+            for client in late:
+                client.send(PING)
             await listener.stop(0.0, 5.0)
-            for each in late:
-                assert await each.read_all() == b"+PONG\r\n"
-            for each in idle:
-                assert await each.read_all() == b""
-            assert most <= 8 + 1  # with the one being accepted
-            for each in (*late, *idle):
-                each.socket.close()
+            for client in late:
+                assert await client.read_all() == b"+PONG\r\n"
+            for client in idle:
+                assert await client.read_all() == b""
+            assert max_open <= 8 + 1  # and the one being accepted
+            for client in (*late, *idle):
+                client.socket.close()
 
     run(scenario)
 
 
 def test_the_connection_idle_for_longest_makes_room() -> None:
-    """The oldest was closed though it had just been used, and its next request crossed the close."""
+    """If the oldest is closed although it has just been used, its next request crosses the close."""
 
     async def scenario() -> None:
-        async with RouterHarness(clients=8) as router:
+        async with RouterHarness(client_budget=8) as router:
             first, second, *others = [await RawClient(router).ping() for _ in range(7)]
             await first.ping()
             newest = await RawClient(router).ping()
             assert await second.read_all() == b""
-            for each in (first, *others, newest):
-                await each.ping()
-            for each in (first, second, *others, newest):
-                each.socket.close()
+            for client in (first, *others, newest):
+                await client.ping()
+            for client in (first, second, *others, newest):
+                client.socket.close()
 
     run(scenario)
 
 
 def test_a_connection_that_is_already_closing_makes_no_room(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against closing it again and again in one loop iteration, which would never end."""
+    """Otherwise it would be closed again and again in one turn of the event loop, which would never end."""
 
     async def scenario() -> None:
-        async with RouterHarness(clients=8) as router:
+        async with RouterHarness(client_budget=8) as router:
             clock = SkippedClock(monkeypatch)
             idle, partial = await RawClient(router).ping(), await RawClient(router).ping()
             partial.send(b"*4\r\n")
--- a/tests/test_terms_discovery.py
+++ b/tests/test_terms_discovery.py
@@ -1,4 +1,4 @@
-"""Requirements on discovery calls: routers get a change before they count as knowing it, whatever fails."""
+"""Requirements on discovery calls: routers get a change before it counts as delivered, whatever fails."""
 
 from __future__ import annotations
 
@@ -24,13 +24,12 @@
 from tests.test_net_discovery import ENTRY, WatchRecorder, call, message
 from tests.test_wirehost import CONF
 
-PROPAGATION_S = 6.0  # after which a router counts as knowing a change, by the requirements
-DRAIN_GRACE_S = 0.5  # the shortest time for a drain that a router knows of
+PROPAGATION_S = 6.0  # after which the requirements count a change as delivered to every router
+DRAIN_GRACE_S = 0.5  # the shortest time from a drain notice until no new request may go to the server
 QUEUE_TIMEOUT_S = 2.0  # for which discovery keeps a call in its queue
-SILENT_CALL_S = (
-    discoveries.WATCH_WAIT_S + discoveries.RESPONSE_MARGIN_S
-)  # until a call without an answer times out
-# of a connection that is never established; without a limit of its own it has that of the whole call
+# Time until a call without a response times out.
+SILENT_CALL_S = discoveries.WATCH_WAIT_S + discoveries.RESPONSE_MARGIN_S
+# Time limit of a connection that is never established; without one of its own it has that of the whole call.
 DIAL_TIMEOUT_S = getattr(discoveries, "DIAL_TIMEOUT_S", SILENT_CALL_S)
 
 
@@ -45,11 +44,13 @@
         self.now, self.service_time = start, service_time
         self.events: list[tuple[float, int, Callable[..., None], tuple[int, ...]]] = []
         self.count = 0
-        self.watches: dict[int, int] = {}  # each router's latest call, while it lasts
+        self.watches: dict[int, int] = {}  # each router's current call, by router
         self.renewed: dict[int, float] = {}
         self.silent: set[int] = set()  # watches
-        conf = settings(subscribe=True, siblings=siblings, max_list_age=10.0, drain_grace=DRAIN_GRACE_S)
-        self.routers = [Router(replace(conf, sibling_index=n), n, start) for n in range(siblings)]
+        router_settings = settings(
+            subscribe=True, siblings=siblings, max_list_age=10.0, drain_grace=DRAIN_GRACE_S
+        )
+        self.routers = [Router(replace(router_settings, sibling_index=n), n, start) for n in range(siblings)]
         self.recover()
         for n in range(siblings):
             self.feed(n, api.ServerList(api.ListKind.SAVED, (entry("a"),)))
@@ -58,7 +59,7 @@
         """Serve calls from now on, after a backlog of other callers in seconds."""
         self.mode = "up"
         self.up_at, self.busy_until = self.now, self.now + backlog
-        self.first_answers: dict[int, float] = {}  # when each router had its first answer since then
+        self.first_responses: dict[int, float] = {}  # time of each router's first response since then
         self.timed_out = self.waiting = self.max_waiting = 0
         self.call_times: list[float] = []
 
@@ -99,7 +100,7 @@
         if wait > QUEUE_TIMEOUT_S:
             self.schedule(QUEUE_TIMEOUT_S, self.time_out, n, call)
         else:
-            self.schedule(wait, self.answer, n, call)
+            self.schedule(wait, self.respond, n, call)
 
     def leave_queue(self) -> None:
         self.waiting -= 1
@@ -113,9 +114,9 @@
             del self.watches[n]
             self.feed(n, api.ServerList(api.ListKind.FAILED))
 
-    def answer(self, n: int, call: int) -> None:
+    def respond(self, n: int, call: int) -> None:
         if self.watches.get(n) == call and call not in self.silent and self.mode == "up":
-            self.first_answers.setdefault(n, self.now - self.up_at)
+            self.first_responses.setdefault(n, self.now - self.up_at)
             self.renew(n, call)
 
     def renew(self, n: int, call: int) -> None:
@@ -125,7 +126,7 @@
             self.schedule(discoveries.WATCH_WAIT_S + discoveries.EMPTY_RESPONSE_PAUSE_S, self.renew, n, call)
 
     def go_down(self, mode: str) -> None:
-        """Refuse calls and reset all watches, or stop answering."""
+        """Refuse calls and reset all watches, or stop responding."""
         self.mode = mode
         for n, watch in list(self.watches.items()):
             if mode == "refusing":
@@ -141,10 +142,10 @@
         """Return the most calls within a second."""
         return max(sum(t <= other < t + 1.0 for other in self.call_times) for t in self.call_times)
 
-    def last_answer(self) -> float:
-        """Return when the last router had the list."""
-        assert len(self.first_answers) == len(self.routers)
-        return max(self.first_answers.values())
+    def last_response(self) -> float:
+        """Return when the last router got the list."""
+        assert len(self.first_responses) == len(self.routers)
+        return max(self.first_responses.values())
 
 
 FLEETS = [(4, 0.025), (4, 0.125), (40, 0.025), (40, 0.125), (230, 0.025)]
@@ -152,48 +153,48 @@
 
 @pytest.mark.parametrize("mode", ["refusing", "silent"])
 @pytest.mark.parametrize(("siblings", "service_time"), FLEETS)
-def test_all_have_the_list_before_it_counts_as_known_when_discovery_is_back(
+def test_all_have_the_list_before_it_counts_as_delivered_when_discovery_is_back(
     siblings: int, service_time: float, mode: str
 ) -> None:
-    """After 8 s of failed calls the backoff had grown to 20 s: lists arrived long after drains."""
+    """A backoff that grows to 20 s within 8 s of failed calls delays lists until long after drains."""
     for extra in (0.0, 0.5, 1.7, 3.1, 60.0):
         model = Model(siblings, service_time)
         model.run(30.0)
-        assert model.last_answer() < 6.0
+        assert model.last_response() < 6.0
         model.go_down(mode)
         model.run(8.0 + extra)
         model.recover()
         model.run(60.0)
-        assert model.last_answer() < (4.0 if siblings == 4 else PROPAGATION_S)
+        assert model.last_response() < (4.0 if siblings == 4 else PROPAGATION_S)
         assert model.timed_out == 0 and model.max_waiting <= 40
         assert model.max_call_rate() <= 48  # of 230 routers; they call in turn, whatever has delayed them
 
 
 @pytest.mark.parametrize(("siblings", "service_time"), FLEETS)
 def test_all_have_the_list_again_soon_when_all_watches_are_reset(siblings: int, service_time: float) -> None:
-    """All called within half a round: over half of the calls timed out queueing, and backed off for 10 s."""
+    """If all call within half a round, over half of the calls time out in the queue and back off for 10 s."""
     for extra in (0.0, 0.9, 2.3):
         model = Model(siblings, service_time)
         model.run(30.0 + extra)
         model.go_down("refusing")
         model.recover()
         model.run(60.0)
-        assert model.last_answer() < PROPAGATION_S and model.timed_out == 0
+        assert model.last_response() < PROPAGATION_S and model.timed_out == 0
 
 
 @pytest.mark.parametrize(("siblings", "service_time"), FLEETS)
 def test_silent_watches_are_all_opened_again(siblings: int, service_time: float) -> None:
-    """They are detected 2 to 5 s later, which leaves little time, over which the calls are spread."""
+    """Silence is detected only 2 to 5 s later, and the calls are spread over the little time that is left."""
     for extra in (0.0, 0.9, 1.8, 2.3):
         model = Model(siblings, service_time)
         model.run(30.0 + extra)
         model.go_down("silent")
         model.recover()
         model.run(60.0)
-        # the first are detected 2 s later: by the deadline discovery can't serve more than this
-        in_time = sum(t <= PROPAGATION_S + DRAIN_GRACE_S for t in model.first_answers.values())
+        # The first are detected 2 s later: by the deadline discovery cannot serve more than this.
+        in_time = sum(t <= PROPAGATION_S + DRAIN_GRACE_S for t in model.first_responses.values())
         assert in_time >= min(siblings, int(0.8 * (PROPAGATION_S + DRAIN_GRACE_S - 2.0) / service_time))
-        assert model.last_answer() < 14.0
+        assert model.last_response() < 14.0
 
 
 @pytest.mark.parametrize(("siblings", "service_time"), FLEETS)
@@ -205,7 +206,7 @@
     model.run(8.0)
     model.recover(backlog=6.0)
     model.run(120.0)
-    assert model.last_answer() < 35.0 and model.timed_out <= 2.5 * siblings
+    assert model.last_response() < 35.0 and model.timed_out <= 2.5 * siblings
 
 
 @pytest.mark.parametrize(("siblings", "service_time"), FLEETS)
@@ -215,30 +216,34 @@
     """A router without cache servers is only ready with its first list, for which a short run has 6 s."""
     model = Model(siblings, service_time, start=1_790_000_000.3)
     model.run(30.0)
-    assert sorted(model.first_answers.values())[int(0.9 * siblings) - 1] < 5.3 and model.timed_out == 0
+    assert sorted(model.first_responses.values())[int(0.9 * siblings) - 1] < 5.3 and model.timed_out == 0
 
 
-def test_a_call_without_an_answer_is_repeated_at_once() -> None:
-    """It timed out 5 s after it began, and changes count as known 1 s later."""
-    conf = settings(subscribe=True, siblings=40, drain_grace=DRAIN_GRACE_S)
-    router = Router(conf, 1, 100.0)
+def test_a_call_without_a_response_is_repeated_at_once() -> None:
+    """It times out 5 s after it began, and changes count as delivered 1 s later."""
+    router_settings = settings(subscribe=True, siblings=40, drain_grace=DRAIN_GRACE_S)
+    router = Router(router_settings, 1, 100.0)
     router.handle(101.0, api.TimerFired("list"))
     (timer, _) = router.handle(101.0 + SILENT_CALL_S, api.ServerList(api.ListKind.FAILED))
     assert isinstance(timer, api.SetTimer) and timer.delay < 0.5
 
 
-@pytest.mark.parametrize("must_ask_in", [2.0, 10.0, 40.0])
+@pytest.mark.parametrize("max_list_age", [2.0, 10.0, 40.0])
 @pytest.mark.parametrize("siblings", [1, 4, 40, 230])
-def test_backoff_stays_within_the_deadline_while_calls_are_refused(siblings: int, must_ask_in: float) -> None:
-    """A site whose routers may ask rarely does not make changes count as known later."""
-    conf = settings(subscribe=True, siblings=siblings, max_list_age=must_ask_in, sibling_index=siblings - 1)
-    router, now = Router(conf, 1, 100.0), 100.0
+def test_backoff_stays_within_the_deadline_while_calls_are_refused(
+    siblings: int, max_list_age: float
+) -> None:
+    """Settings that let routers call rarely do not make changes count as delivered later."""
+    router_settings = settings(
+        subscribe=True, siblings=siblings, max_list_age=max_list_age, sibling_index=siblings - 1
+    )
+    router, now = Router(router_settings, 1, 100.0), 100.0
     (first,) = router.handle(now, api.ServerList(api.ListKind.SAVED, (entry("a"),)))
-    assert isinstance(first, api.SetTimer) and first.delay <= min(5.0, must_ask_in / 2)
+    assert isinstance(first, api.SetTimer) and first.delay <= min(5.0, max_list_age / 2)
     for _ in range(40):
         router.handle(now, api.TimerFired("list"))
         (timer, _) = router.handle(now, api.ServerList(api.ListKind.FAILED))
-        assert isinstance(timer, api.SetTimer) and 0 < timer.delay <= min(5.0, must_ask_in / 2) + 0.2
+        assert isinstance(timer, api.SetTimer) and 0 < timer.delay <= min(5.0, max_list_age / 2) + 0.2
         now += timer.delay
 
 
@@ -246,20 +251,20 @@
 
 
 def test_a_connection_that_is_never_established_times_out_soon() -> None:
-    """It used to have the whole call's time: 5 of the 6 s after which changes count as known."""
+    """Otherwise it takes the whole call's time: 5 of the 6 s after which changes count as delivered."""
 
     async def scenario() -> None:
         with socket.socket() as full:
             full.bind(("127.0.0.1", 0))
-            full.listen(0)  # nobody accepts: after these two, SYNs are dropped as in a network partition
+            full.listen(0)  # nobody accepts: after two, SYNs are dropped as in a network partition
             fillers = [socket.socket() for _ in range(2)]
             for filler in fillers:
                 filler.setblocking(False)
                 filler.connect_ex(full.getsockname())
-            scripted = ScriptedServer()
-            scripted.address = format_address(full.getsockname())
+            server = ScriptedServer()
+            server.address = format_address(full.getsockname())
             began = time.monotonic()
-            assert await WatchRecorder(scripted).news.get() is None
+            assert await WatchRecorder(server).reports.get() is None
             assert time.monotonic() - began < 2.0
             for filler in fillers:
                 filler.close()
@@ -272,13 +277,13 @@
 
     async def scenario() -> None:
         monkeypatch.setattr(discoveries, "DIAL_TIMEOUT_S", 0.1, raising=False)
-        async with ScriptedServer() as scripted:
-            told = WatchRecorder(scripted)
-            _, link = await call(scripted)
+        async with ScriptedServer() as server:
+            recorder = WatchRecorder(server)
+            _, link = await call(server)
             await asyncio.sleep(0.3)
             link.write(http("200 OK", message(42, False)))
-            assert await told.news.get() == (api.ListKind.DELTA, [])
-            told.client.close()
+            assert await recorder.reports.get() == (api.ListKind.DELTA, [])
+            recorder.client.close()
 
     run(scenario)
 
@@ -286,103 +291,103 @@
 FULL_LIST = "GET /registry/instances HTTP/1.1"
 
 
-async def expect_full_list_call(scripted: ScriptedServer, told: WatchRecorder, link: Link) -> None:
-    """Answer the watch with changes of a lower version, after which the router needs the full list."""
+async def expect_full_list_call(server: ScriptedServer, recorder: WatchRecorder, link: Link) -> None:
+    """Respond to the watch with changes of a lower index, after which the router needs the full list."""
     link.write(http("200 OK", message(7, False, {**ENTRY, "status": "terminating"})))
-    first, link = await call(scripted)
-    assert first == FULL_LIST
+    request_line, link = await call(server)
+    assert request_line == FULL_LIST
     link.write(http("200 OK", message(8, True, ENTRY)))
-    kind, (member,) = await told.news.get() or pytest.fail()
+    kind, (member,) = await recorder.reports.get() or pytest.fail()
     assert kind is api.ListKind.FULL and member.entry.state is api.ServerState.READY
-    assert "after=8&wait_ms=3000" in (await call(scripted))[0] and told.news.empty()
+    assert "after=8&wait_ms=3000" in (await call(server))[0] and recorder.reports.empty()
 
 
-def test_a_discovery_with_lower_versions_is_asked_for_the_full_list() -> None:
-    """The list in the configuration came from a discovery with a higher version."""
+def test_a_discovery_with_a_lower_index_is_called_for_the_full_list() -> None:
+    """The list in the configuration may come from a discovery with a higher index."""
 
     async def scenario() -> None:
-        async with ScriptedServer() as scripted:
-            told = WatchRecorder(scripted)
-            first, link = await call(scripted)
-            assert "after=41&" in first
-            await expect_full_list_call(scripted, told, link)
-            told.client.close()
+        async with ScriptedServer() as server:
+            recorder = WatchRecorder(server)
+            request_line, link = await call(server)
+            assert "after=41&" in request_line
+            await expect_full_list_call(server, recorder, link)
+            recorder.client.close()
 
     run(scenario)
 
 
 @pytest.mark.parametrize("failed", [False, True])
-def test_a_new_discovery_with_lower_versions_is_detected_at_once(failed: bool) -> None:
-    """Its first watch waited for 3 s, and the next ones for versions that it would not reach."""
+def test_a_new_discovery_with_a_lower_index_is_detected_at_once(failed: bool) -> None:
+    """Otherwise its first watch waits for 3 s, and the next ones for an index that it does not reach."""
 
     async def scenario() -> None:
         async with ScriptedServer() as old, ScriptedServer() as new:
-            told = WatchRecorder(old)
+            recorder = WatchRecorder(old)
             await call(old)
-            assert told.client.set_address(new.address)
-            told.client.subscribe()
-            first, link = await call(new)
-            assert "after=41&wait_ms=1 " in first
-            if failed:  # its version is still unknown
+            assert recorder.client.set_address(new.address)
+            recorder.client.subscribe()
+            request_line, link = await call(new)
+            assert "after=41&wait_ms=1 " in request_line
+            if failed:  # its index is still unknown
                 link.reset()
-                assert await told.news.get() is None
-                told.client.subscribe()
-                first, link = await call(new)
-                assert "after=41&wait_ms=1 " in first
-            await expect_full_list_call(new, told, link)
-            told.client.close()
+                assert await recorder.reports.get() is None
+                recorder.client.subscribe()
+                request_line, link = await call(new)
+                assert "after=41&wait_ms=1 " in request_line
+            await expect_full_list_call(new, recorder, link)
+            recorder.client.close()
 
     run(scenario)
 
 
-def test_a_new_discovery_with_the_same_versions_is_watched() -> None:
-    """Guards against two hundred calls for the full list at once when none is needed."""
+def test_a_new_discovery_with_the_same_index_is_watched() -> None:
+    """Otherwise some two hundred routers would call for the full list at once when none needs it."""
 
     async def scenario() -> None:
         async with ScriptedServer() as old, ScriptedServer() as new:
-            told = WatchRecorder(old)
+            recorder = WatchRecorder(old)
             await call(old)
-            told.client.set_address(new.address)
-            told.client.subscribe()
+            recorder.client.set_address(new.address)
+            recorder.client.subscribe()
             _, link = await call(new)
             link.write(http("200 OK", message(41, False)))
-            assert await told.news.get() == (api.ListKind.DELTA, [])
+            assert await recorder.reports.get() == (api.ListKind.DELTA, [])
             assert "after=41&wait_ms=3000" in (await call(new))[0]
-            told.client.close()
+            recorder.client.close()
 
     run(scenario)
 
 
-def test_a_full_list_of_a_lower_version_is_accepted() -> None:
+def test_a_full_list_with_a_lower_index_is_accepted() -> None:
     async def scenario() -> None:
-        async with ScriptedServer() as scripted:
-            told = WatchRecorder(scripted)
-            _, link = await call(scripted)
+        async with ScriptedServer() as server:
+            recorder = WatchRecorder(server)
+            _, link = await call(server)
             link.write(http("200 OK", message(7, True, ENTRY)))
-            assert (await told.news.get() or pytest.fail())[0] is api.ListKind.FULL
-            assert "after=7&" in (await call(scripted))[0]
-            told.client.close()
+            assert (await recorder.reports.get() or pytest.fail())[0] is api.ListKind.FULL
+            assert "after=7&" in (await call(server))[0]
+            recorder.client.close()
 
     run(scenario)
 
 
-@pytest.mark.parametrize("answer", [http("503 Busy"), http("200 OK", message(7, False, ENTRY)), b""])
-def test_anything_but_a_full_list_is_a_failed_call(answer: bytes) -> None:
-    """Changes taken for a full list would drop healthy servers; the router keeps the list it has."""
+@pytest.mark.parametrize("response", [http("503 Busy"), http("200 OK", message(7, False, ENTRY)), b""])
+def test_anything_but_a_full_list_is_a_failed_call(response: bytes) -> None:
+    """Changes taken for a full list would drop healthy servers; the router keeps its current list."""
 
     async def scenario() -> None:
-        async with ScriptedServer() as scripted:
-            told = WatchRecorder(scripted)
-            _, link = await call(scripted)
+        async with ScriptedServer() as server:
+            recorder = WatchRecorder(server)
+            _, link = await call(server)
             link.write(http("200 OK", message(7, False)))
-            first, link = await call(scripted)
-            assert first == FULL_LIST
-            link.write(answer)
+            request_line, link = await call(server)
+            assert request_line == FULL_LIST
+            link.write(response)
             link.close()
-            assert await told.news.get() is None
-            told.client.subscribe()
-            assert "after=41&" in (await call(scripted))[0]
-            told.client.close()
+            assert await recorder.reports.get() is None
+            recorder.client.subscribe()
+            assert "after=41&" in (await call(server))[0]
+            recorder.client.close()
 
     run(scenario)
 
@@ -423,16 +428,16 @@
                 while b"out of reach, 3 in a row" not in await process.stderr.readline():
                     client.write(command("PING"))
                     assert isinstance(await client.resp(), Exception)
-                scripted = ScriptedServer()
+                server = ScriptedServer()
                 began = time.monotonic()
-                server = await asyncio.start_server(scripted._accept, sock=down)
-                _, link = await call(scripted)
+                listening = await asyncio.start_server(server._accept, sock=down)
+                _, link = await call(server)
                 link.write(http("200 OK", message(3, True, *servers(2))))
-                await call(scripted)  # the watch goes on, so the list has been applied
+                await call(server)  # the watch goes on, so the list has been applied
                 client.write(command("PING"))
                 assert await client.resp() == b"PONG"
                 assert time.monotonic() - began < 4.0
-                server.close()
+                listening.close()
 
     run(scenario)
 
