--- a/brackenwalk/__main__.py
+++ b/brackenwalk/__main__.py
@@ -126,13 +126,13 @@
     settings = config.settings
     budget = config.sockets - RESERVED_DESCRIPTORS
     dial, idle = settings.dial_timeout, settings.idle_timeout
-    servers = Pool(CacheConnection, budget * 3 // 8, dial, idle)
-    origin = Pool(OriginConnection, budget // 8, dial, idle)
+    cache_pool = Pool(CacheConnection, budget * 3 // 8, dial, idle)
+    origin_pool = Pool(OriginConnection, budget // 8, dial, idle)
 
     def subscribe() -> None:
         discovery.subscribe()
 
-    host = Host(settings, config.seed, servers, origin, subscribe)
+    host = Host(settings, config.seed, cache_pool, origin_pool, subscribe)
     discovery = DiscoveryClient(
         config.discovery, config.known_index, host.on_server_list, host.on_list_failed
     )
@@ -172,8 +172,8 @@
             demand.stale,
         )
         peers.close()
-    servers.close()
-    origin.close()
+    cache_pool.close()
+    origin_pool.close()
 
 
 def main() -> int:
--- a/brackenwalk/net/host.py
+++ b/brackenwalk/net/host.py
@@ -76,11 +76,16 @@
     """One router: the decision module with its requests, attempts and server list."""
 
     def __init__(
-        self, settings: api.Settings, seed: int, servers: Pool, origin: Pool, subscribe: Callable[[], None]
+        self,
+        settings: api.Settings,
+        seed: int,
+        cache_pool: Pool,
+        origin_pool: Pool,
+        subscribe: Callable[[], None],
     ) -> None:
         self.settings = settings
-        self.servers = servers
-        self.origin = origin
+        self.cache_pool = cache_pool
+        self.origin_pool = origin_pool
         self.subscribe = subscribe
         self.broadcast: Callable[[bytes], None] = lambda content: None  # until the peer socket is open
         self.clock = Clock()
@@ -132,7 +137,7 @@
                 self._cancel(action)
             case api.CloseIdle():
                 if action.server in self.members:
-                    self._pool(action.server).close_idle(self.members[action.server].address)
+                    self._pool_of(action.server).close_idle(self.members[action.server].address)
             case api.SetTimer():
                 loop = asyncio.get_running_loop()
                 loop.call_later(action.delay, self.post, api.TimerFired(action.token))
@@ -190,8 +195,8 @@
     def _is_origin(self, member: Member) -> bool:
         return self.settings.aside and member.entry.kind == self.settings.origin_kind
 
-    def _pool(self, server: str) -> Pool:
-        return self.origin if self._is_origin(self.members[server]) else self.servers
+    def _pool_of(self, server: str) -> Pool:
+        return self.origin_pool if self._is_origin(self.members[server]) else self.cache_pool
 
     def on_peer_message(self, content: bytes) -> None:
         """Pass a peer's message to the module."""
@@ -220,13 +225,13 @@
         )
         tracked = self.requests[decoded_id] = TrackedRequest(command, now + time_left, respond, check_client)
         tracked.timer = asyncio.get_running_loop().call_later(time_left, self._on_deadline, decoded_id)
-        hint = command.info.get("h", "")
+        cost_hint = command.info.get("h", "")
         request = api.Request(
             decoded_id,
             command.info.get("c", ""),
             time_left,
             command.key.decode("latin-1"),
-            int(hint) / 1e6 if hint.isdigit() else None,
+            int(cost_hint) / 1e6 if cost_hint.isdigit() else None,
             command.write,
         )
         self.post(request)
@@ -317,7 +322,7 @@
             self._finish(tracked, attempt, status, value)
 
         attempt.member = self.members[action.server]
-        pool, address = self._pool(action.server), attempt.member.address
+        pool, address = self._pool_of(action.server), attempt.member.address
         attempt.exchange = pool.start(address, tracked.command, time_left, on_done, tracked.check_client)
 
     def _cancel(self, action: api.Cancel) -> None:
--- a/brackenwalk/net/listener.py
+++ b/brackenwalk/net/listener.py
@@ -27,12 +27,12 @@
 
 def find_disconnected(connections: list[ClientConnection]) -> list[ClientConnection]:
     """Return the connections whose clients have disconnected, with one system call for all."""
-    poll, known = select.poll(), {}
+    poll, by_descriptor = select.poll(), {}
     for connection in connections:
         descriptor = connection.transport.get_extra_info("socket").fileno()
-        known[descriptor] = connection
+        by_descriptor[descriptor] = connection
         poll.register(descriptor, select.POLLRDHUP)
-    return [known[descriptor] for descriptor, _ in poll.poll(0)]
+    return [by_descriptor[descriptor] for descriptor, _ in poll.poll(0)]
 
 
 class Listener:
@@ -65,7 +65,7 @@
         loop = asyncio.get_running_loop()
         while True:
             try:
-                client, _ = self.socket.accept()
+                client_socket, _ = self.socket.accept()
             except BlockingIOError:
                 if self.stopping:
                     return
@@ -81,12 +81,12 @@
                 await asyncio.sleep(ACCEPT_RETRY_S)
                 continue
             try:
-                client.setblocking(False)
+                client_socket.setblocking(False)
                 # asyncio sets it only on sockets created with IPPROTO_TCP, unlike this listener's. Without it
                 # a small response waits until the client has acknowledged the previous one (Nagle).
-                client.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+                client_socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
                 connection = ClientConnection(self.host, self)
-                await loop.connect_accepted_socket(lambda c=connection: c, client)  # type: ignore[misc]
+                await loop.connect_accepted_socket(lambda c=connection: c, client_socket)  # type: ignore[misc]
             except OSError as e:
                 log.warning("accept: %s; connection dropped", e)
                 await asyncio.sleep(ACCEPT_RETRY_S)
@@ -144,9 +144,9 @@
 
     def _abort_lingering(self) -> None:
         """Abort lingering connections above the budget, first those with no unsent responses."""
-        over = len(self.connections) + len(self.lingering) - self.budget
-        if over > 0:
-            for connection in sorted(self.lingering, key=ClientConnection.has_unsent)[:over]:
+        excess = len(self.connections) + len(self.lingering) - self.budget
+        if excess > 0:
+            for connection in sorted(self.lingering, key=ClientConnection.has_unsent)[:excess]:
                 connection.abort()
 
     def watch_for_disconnect(self, connection: ClientConnection) -> None:
