--- a/tests/test_grammar_http.py
+++ b/tests/test_grammar_http.py
@@ -37,8 +37,8 @@
 
 def read(client: HttpClient, text: bytes, piece: int = 99999, ended: bool = True) -> Response | None:
     """Feed a response to a client in pieces of a size, and the end of the connection if `ended`."""
-    for at in range(0, len(text), piece):
-        if (response := client.receive(text[at : at + piece])) is not None:
+    for offset in range(0, len(text), piece):
+        if (response := client.receive(text[offset : offset + piece])) is not None:
             return response
     return client.receive(b"") if ended else None
 
@@ -315,15 +315,15 @@
     def __init__(self, text: bytes, ended: bool) -> None:
         self.text = text
         self.ended = ended
-        self.at = 0
+        self.offset = 0
 
     def response(self) -> Response:
-        """Return the response, and leave `at` at its end."""
+        """Return the response, and leave `offset` at its end."""
         for _ in range(MAX_INFORMATIONAL + 1):
-            start = self.at
+            start = self.offset
             minor, status = self.status_line()
             fields = self.fields()
-            require(self.at - start <= MAX_FRAMING_BYTES)
+            require(self.offset - start <= MAX_FRAMING_BYTES)
             lengths = [v for n, v in fields if n == b"content-length"]
             codings = [v for n, v in fields if n == b"transfer-encoding"]
             require(len(lengths) + len(codings) <= 1)
@@ -341,19 +341,19 @@
             body = self.take(int(lengths[0]))
         else:
             require(self.ended)
-            body = self.take(len(self.text) - self.at)
+            body = self.take(len(self.text) - self.offset)
         require(len(body) <= MAX_BODY)
         return Response(status, {n: b", ".join(v for m, v in fields if m == n) for n, _ in fields}, body)
 
     def take(self, size: int) -> bytes:
-        require(len(self.text) - self.at >= size)
-        self.at += size
-        return self.text[self.at - size : self.at]
+        require(len(self.text) - self.offset >= size)
+        self.offset += size
+        return self.text[self.offset - size : self.offset]
 
     def line(self) -> bytes:
-        end = self.text.find(b"\r\n", self.at)
+        end = self.text.find(b"\r\n", self.offset)
         require(end >= 0)
-        line = self.take(end - self.at)
+        line = self.take(end - self.offset)
         require(set(line) <= TEXT)
         self.take(2)
         return line
@@ -376,14 +376,14 @@
     def chunks(self) -> bytes:
         body = b""
         while True:
-            start = self.at
+            start = self.offset
             size = self.chunk_size()
             if size == 0:
                 break
             body += self.take(size)
             require(self.take(2) == b"\r\n")
         trailers = self.fields()
-        require(self.at - start <= MAX_FRAMING_BYTES)
+        require(self.offset - start <= MAX_FRAMING_BYTES)
         require(not any(n in (b"content-length", b"transfer-encoding") for n, _ in trailers))
         return body
 
@@ -416,18 +416,18 @@
     @staticmethod
     def quoted(line: bytes) -> bytes:
         """Return the rest after a quoted string, whose first quote has been read."""
-        at = 0
-        while line[at : at + 1] != b'"':
-            at += 2 if line[at : at + 1] == b"\\" else 1
-            require(at < len(line))
-        return line[at + 1 :]
+        offset = 0
+        while line[offset : offset + 1] != b'"':
+            offset += 2 if line[offset : offset + 1] == b"\\" else 1
+            require(offset < len(line))
+        return line[offset + 1 :]
 
 
 def reference(text: bytes, ended: bool) -> tuple[Response, bytes] | None:
     """Return the response and the bytes after it, or None if there is none."""
     reader = Reference(text, ended)
     try:
-        return reader.response(), text[reader.at :]
+        return reader.response(), text[reader.offset :]
     except InvalidResponseError:
         return None
 
@@ -473,12 +473,12 @@
     elif form == "chunked":
         field = draw(st.sampled_from([b"Transfer-Encoding: chunked", b"transfer-encoding:\tCHUNKED"]))
         headers = [(b"transfer-encoding", b"chunked")]
-        at = 0
-        while at < len(body):
-            size = draw(st.integers(1, len(body) - at))
+        offset = 0
+        while offset < len(body):
+            size = draw(st.integers(1, len(body) - offset))
             digits = draw(st.sampled_from([b"%x", b"%X", b"%04x"])) % size
-            framed += digits + draw(EXTENSIONS) + b"\r\n" + body[at : at + size] + b"\r\n"
-            at += size
+            framed += digits + draw(EXTENSIONS) + b"\r\n" + body[offset : offset + size] + b"\r\n"
+            offset += size
         framed += draw(st.sampled_from([b"0", b"000"])) + draw(EXTENSIONS) + b"\r\n"
         framed = framed + draw(lines())[0] + b"\r\n" if status not in (204, 304) else b""
     else:
@@ -498,23 +498,23 @@
 def changed(draw: st.DrawFn) -> bytes:
     """A valid response with one byte or line changed, cut short, or followed by more."""
     text = draw(messages()).text
-    at = draw(st.integers(0, len(text) - 1))
+    offset = draw(st.integers(0, len(text) - 1))
     byte = bytes([draw(st.sampled_from(BYTES))])
     begins = [i + 2 for i in range(len(text) - 1) if text[i : i + 2] == b"\r\n"]
     begin = draw(st.sampled_from(begins))
     change = draw(st.sampled_from(CHANGES))
     if change == "replace":
-        return text[:at] + byte + text[at + 1 :]
+        return text[:offset] + byte + text[offset + 1 :]
     if change == "insert":
-        return text[:at] + byte + text[at:]
+        return text[:offset] + byte + text[offset:]
     if change == "delete":
-        return text[:at] + text[at + 1 :]
+        return text[:offset] + text[offset + 1 :]
     if change == "add a line":
         return text[:begin] + draw(st.sampled_from(LINES)) + b"\r\n" + text[begin:]
     if change == "repeat a line":
         end = text.find(b"\r\n", begin)
         return text[:begin] + (text[begin : end + 2] if end >= 0 else text[begin:]) + text[begin:]
-    return text[:at] if change == "cut" else text + draw(st.sampled_from(BITS)) + text
+    return text[:offset] if change == "cut" else text + draw(st.sampled_from(BITS)) + text
 
 
 CHANGES = ["replace", "insert", "delete", "add a line", "repeat a line", "cut", "append"]
--- a/tests/test_grammar_resp.py
+++ b/tests/test_grammar_resp.py
@@ -111,10 +111,10 @@
 @EXAMPLES
 @given(responses, st.integers(0, 400), st.binary(min_size=0, max_size=2), st.integers(0, 2), cut)
 def test_a_changed_response_is_read_by_the_grammar_or_fails(
-    text: bytes, at: int, inserted: bytes, removed: int, cuts: set[int]
+    text: bytes, offset: int, inserted: bytes, removed: int, cuts: set[int]
 ) -> None:
-    at %= len(text)
-    changed = text[:at] + inserted + text[at + removed :]
+    offset %= len(text)
+    changed = text[:offset] + inserted + text[offset + removed :]
     received, expected = decode(pieces(changed, cuts)), response_of(changed)
     assert received == expected if expected is not None else received in ("malformed", "incomplete")
 
@@ -168,8 +168,8 @@
     assert decode([text]) == "malformed"
 
 
-@pytest.mark.parametrize("at", range(1, len(b"value\r\n") + 1))
-def test_a_value_without_its_line_end_is_not_served(at: int) -> None:
+@pytest.mark.parametrize("offset", range(1, len(b"value\r\n") + 1))
+def test_a_value_without_its_line_end_is_not_served(offset: int) -> None:
     """`*3 $4 abcdef$-1` must not be read as `abcd`: hiredis skips two bytes after a bulk string unread."""
 
     async def scenario() -> None:
@@ -177,9 +177,9 @@
             attempts = cache_attempts()
             link = await attempts.start_and_receive(server)
             invalid = b"$5\r\nvalueXY$-1\r\n$-1\r\n"
-            link.write(b"*3\r\n" + invalid[: 4 + at])
+            link.write(b"*3\r\n" + invalid[: 4 + offset])
             await link.writer.drain()
-            link.write(invalid[4 + at :])
+            link.write(invalid[4 + offset :])
             assert await attempts.result() == (Status.ERROR, b"")
             assert await link.wait_closed() and not attempts.pool.connections
 
@@ -251,10 +251,10 @@
 @EXAMPLES
 @given(commands, st.integers(0, 600), st.binary(min_size=0, max_size=2), st.integers(0, 2), cut)
 def test_changed_commands_are_read_by_the_grammar_or_fail(
-    text: bytes, at: int, inserted: bytes, removed: int, cuts: set[int]
+    text: bytes, offset: int, inserted: bytes, removed: int, cuts: set[int]
 ) -> None:
-    at %= len(text)
-    changed = text[:at] + inserted + text[at + removed :]
+    offset %= len(text)
+    changed = text[:offset] + inserted + text[offset + removed :]
     lists = [m for m in read(pieces(changed, cuts)) if isinstance(m, list) and m]
     assert [m for m in lists if all(isinstance(p, bytes) for p in m)] == commands_of(changed)
 
--- a/tests/test_net_host.py
+++ b/tests/test_net_host.py
@@ -538,9 +538,9 @@
 
     async def scenario() -> None:
         async with RouterHarness() as router:
-            leaver = socket.create_connection(router.listener.socket.getsockname())
-            leaver.sendall(read("r1"))
-            leaver.close()
+            disconnecting = socket.create_connection(router.listener.socket.getsockname())
+            disconnecting.sendall(read("r1"))
+            disconnecting.close()
             client = await router.client()
             client.write(command("PING"))
             assert await client.resp() == b"PONG"
--- a/tests/test_terms_clients.py
+++ b/tests/test_terms_clients.py
@@ -115,7 +115,7 @@
 async def paused_client(
     router: RouterHarness, commands: int = 2 * MAX_PIPELINED
 ) -> tuple[Link, dict[bytes, Link]]:
-    """Return a client that the router has paused reading, and the attempts of the commands taken, by id."""
+    """Return a client from which the router has paused reading, and the links of its attempts by id."""
     client = await router.client()
     client.write(b"".join(read(f"r{n}", f"k{n}", LONG_DEADLINE) for n in range(commands)))
     attempt_links: dict[bytes, Link] = {}
@@ -154,7 +154,7 @@
             server.limit = 64.0
 
 
-def test_a_paused_client_that_leaves_is_noticed_in_time(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_disconnect_of_a_paused_client_is_detected_in_time(monkeypatch: pytest.MonkeyPatch) -> None:
     """With a poll every 0.1 s, the delay of a busy event loop on top lets attempts start too late."""
 
     async def scenario() -> None:
@@ -169,7 +169,7 @@
     run(scenario)
 
 
-def test_no_further_attempt_starts_before_a_check(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_no_further_attempt_starts_before_a_poll(monkeypatch: pytest.MonkeyPatch) -> None:
     """Otherwise a miss that arrives after the client's FIN goes on to the origin."""
     monkeypatch.setattr(listener, "DISCONNECT_POLL_S", NEVER_S)
 
@@ -186,24 +186,26 @@
     run(scenario)
 
 
-def test_no_buffered_command_is_taken_of_a_client_that_has_left(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_no_buffered_command_is_accepted_from_a_client_that_has_disconnected(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     """Each response makes room for a command buffered in the router, whose client has disconnected."""
     monkeypatch.setattr(listener, "DISCONNECT_POLL_S", NEVER_S)
 
     async def scenario() -> None:
         async with LargeHarness() as router:
             client, attempt_links = await paused_client(router)
-            taken = set(router.host.requests)
+            accepted = set(router.host.requests)
             close_now(client)
             send_now(attempt_links[b"r0"], HIT)
             await run_loop()
-            assert set(router.host.requests) <= taken and no_new_connections(router)
+            assert set(router.host.requests) <= accepted and no_new_connections(router)
             assert not router.listener.connections and not router.host.router.pending
 
     run(scenario)
 
 
-def test_no_dial_goes_on_for_a_paused_client_that_has_left(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_no_dial_continues_for_a_paused_client_that_has_disconnected(monkeypatch: pytest.MonkeyPatch) -> None:
     """The poll cancels the dial before it completes and the request is written."""
 
     async def scenario() -> None:
@@ -231,7 +233,7 @@
 
 
 @pytest.mark.parametrize("further", ["to the origin", "to another cache"])
-def test_events_of_one_loop_turn_start_no_attempt_for_a_client_that_has_left(further: str) -> None:
+def test_events_of_one_loop_turn_start_no_attempt_for_a_client_that_has_disconnected(further: str) -> None:
     """An idle connection carries the request at once, before the event loop handles the client's FIN."""
 
     async def scenario() -> None:
@@ -505,11 +507,8 @@
     [
         (PING, 400, MAX_SOCKETS),
         (b"", 400, MAX_SOCKETS),
-        (
-            PING + b"*4\r\n$5\r\nC.G",
-            150,
-            MAX_SOCKETS,
-        ),  # an incomplete command, which may take 2 s to complete
+        # An incomplete command, which may take 2 s to complete.
+        (PING + b"*4\r\n$5\r\nC.G", 150, MAX_SOCKETS),
         (PING, 400, 96),  # fewer than configured
         (b"", 400, 96),
     ],
@@ -573,9 +572,8 @@
 
             monkeypatch.setattr(ClientConnection, "connection_made", count)
             idle = [await RawClient(router).ping() for _ in range(7)]
-            late = [
-                RawClient(router) for _ in range(30)
-            ]  # the loop has not run since, so none is accepted yet
+            # The event loop does not run before the call of `stop`, so none of these is accepted yet.
+            late = [RawClient(router) for _ in range(30)]
             for client in late:
                 client.send(PING)
             await listener.stop(0.0, 5.0)
