--- a/brackenwalk/net/clients.py
+++ b/brackenwalk/net/clients.py
@@ -111,8 +111,8 @@
         try:
             more = self._process_batch()
         except Exception:
-            # An error here ends this connection and its requests, and no other. The connection would
-            # otherwise stay open, with requests that never get a response.
+            # An error here ends this connection and its requests, and no others. Raised in a deferred call it
+            # would otherwise leave the connection open, with requests that never get a response.
             log.exception("client connection failed and is closed: please report this trace")
             self.transport.abort()
             return
--- a/brackenwalk/net/discovery.py
+++ b/brackenwalk/net/discovery.py
@@ -27,7 +27,7 @@
 # next call takes time as well.
 WATCH_WAIT_S = 3.0
 RESPONSE_MARGIN_S = 2.0  # time for which discovery may queue a call before it starts to wait
-# Pause after a response with no change, so that an agent that never waits is not called in a busy loop. A
+# Pause after a response with no change, so that a discovery that never waits is not called in a busy loop. A
 # call later than 200 ms after the previous response would be taken for a new watch and queued behind others.
 EMPTY_RESPONSE_PAUSE_S = 0.05
 # Time for the connection alone, which does not wait in discovery's queue. One that is never established would
--- a/brackenwalk/net/host.py
+++ b/brackenwalk/net/host.py
@@ -265,7 +265,7 @@
         for attempt in list(tracked.attempts.values()):  # the module may respond, and so close it, in between
             self._time_out(tracked, attempt)
         if not tracked.closed:
-            # Only a fault of the module leads here. After the deadline no event is left that would lead to a
+            # Only a fault of the router leads here. After the deadline no event is left that would lead to a
             # response, and the client would wait for ever.
             log.error("request %s: the decision module gave no response by the deadline; failed", request_id)
             self._respond(request_id, ERR_FAILED)
--- a/brackenwalk/net/listener.py
+++ b/brackenwalk/net/listener.py
@@ -174,7 +174,7 @@
     async def stop(self, grace: float, time_limit: float) -> None:
         """Accept for `grace` more seconds, then wait until all responses are sent and all clients closed.
 
-        Give up waiting `time_limit` seconds after accepting has ended.
+        Give up waiting `time_limit` seconds after `grace` has passed.
         """
         await asyncio.sleep(grace)
         self.stopping = True
