--- a/fleetlab/capacity.py
+++ b/fleetlab/capacity.py
@@ -312,9 +312,9 @@
     return cell
 
 
-def propagation_metrics(which: str) -> list[tuple[str, str]]:
+def propagation_metrics(statistic: str) -> list[tuple[str, str]]:
     """Return the roles and metrics that may hold the time until a change of the list is in force."""
-    return [(role, f"force.{which}") for role in ("hollow", "real", "discovery", "lab")]
+    return [(role, f"force.{statistic}") for role in ("hollow", "real", "discovery", "lab")]
 
 
 def not_measured(fits: Sequence[Fit], size: Size) -> TableCell | None:
@@ -365,11 +365,11 @@
     peers_in = measured(("network", "bytes.in.peers"), ("hollow", "bytes.in.peers"))
     at_discovery = "one discovery for all routers, calls one after another"
     cores = float(deploy["server_cores"])
-    fewest, most = (cores * float(c) for c in deploy["connections_core"])
+    min_connections, max_connections = (cores * float(c) for c in deploy["connections_core"])
     machines = limits["control_machines"]
     limit_bytes = limits["control_bytes"]
 
-    longest = (
+    message_text = (
         f"({DIGEST_BYTES + HEADER.size} + {KEY_ENTRY.size} × "
         f"min({MAX_KEYS}, requests between two messages)) bytes"
     )
@@ -446,7 +446,7 @@
                 f"(routers − 1) / ({INTERVAL_FACTOR:g} × aim of {aim:g} s) × "
                 f"({UDP_OVERHEAD_BYTES} + message) × the least of 1, "
                 f"{MAX_SENDERS} / routers and {fmt(MAX_BYTES_PER_S)} × {INTERVAL_FACTOR:g} × aim / "
-                f"(routers × ({UDP_OVERHEAD_BYTES} + message)); message: {longest}",
+                f"(routers × ({UDP_OVERHEAD_BYTES} + message)); message: {message_text}",
                 lambda s: key_bytes_bound(s, aim),
             ),
             limit_bytes,
@@ -606,15 +606,18 @@
             "from routers",
             "`Pool`: kept as long as they pay",
             measured(("caches", "connections")),
-            fewest,
+            min_connections,
             "deployment",
         ),
         Row(
             "connections",
             "from routers, one each",
             "`Pool`",
-            formula(f"routers; a server holds {fmt(fewest)} to {fmt(most)}", lambda s: s.routers),
-            fewest,
+            formula(
+                f"routers; a server holds {fmt(min_connections)} to {fmt(max_connections)}",
+                lambda s: s.routers,
+            ),
+            min_connections,
             "deployment",
         ),
     ]
@@ -747,23 +750,25 @@
         ),
     ]
 
-    def time_in_force(which: str) -> CellFunction:
-        return measured(*propagation_metrics(which))
+    def propagation_time(statistic: str) -> CellFunction:
+        return measured(*propagation_metrics(statistic))
 
     fleet = [
-        Row("time", "a change in force, half of them, seconds", f"{watch}; {deltas}", time_in_force("p50")),
+        Row(
+            "time", "a change in force, half of them, seconds", f"{watch}; {deltas}", propagation_time("p50")
+        ),
         Row(
             "time",
             "a change in force, 99 of 100 of them, seconds",
             f"{watch}; {deltas}",
-            time_in_force("p99"),
+            propagation_time("p99"),
             limits["change_within"],
         ),
         Row(
             "time",
             "a change in force at the last router, seconds",
             f"{watch}; {deltas}",
-            time_in_force("max"),
+            propagation_time("max"),
             limits["change_within"],
         ),
         Row("time", "a purge done everywhere, seconds", missing, not_measured, limits["purge_within"]),
@@ -797,7 +802,7 @@
     }
 
 
-def _mean_with_range(values: Sequence[float]) -> str:
+def _format_mean_and_range(values: Sequence[float]) -> str:
     """Format the mean of plays with their range."""
     few = "" if len(values) >= MIN_PLAYS else "†"
     mean = math.fsum(values) / len(values)
@@ -946,7 +951,7 @@
                     continue
                 limit = self.spec.limits[comparison.limit_name] if comparison.limit_name else None
                 means = [math.fsum(values) / len(values) for values in (before, after)]
-                texts = [_mean_with_range(values) for values in (before, after)]
+                texts = [_format_mean_and_range(values) for values in (before, after)]
                 ratios = [fmt(mean / limit) if limit else "" for mean in means]
                 improvement = fmt(means[0] / means[1]) if means[1] else ""
                 refs = ", ".join(
--- a/fleetlab/hollow.py
+++ b/fleetlab/hollow.py
@@ -47,7 +47,7 @@
 log = structlog.get_logger(__name__)
 
 
-class Life(Protocol):
+class Timeline(Protocol):
     """The state of a server over time, in seconds from the start of the schedule."""
 
     def is_up(self, at: float) -> bool:
@@ -63,7 +63,7 @@
         ...
 
 
-class Absence(Protocol):
+class Outage(Protocol):
     """A time in which a router is down, in seconds from the start of the schedule."""
 
     @property
@@ -87,25 +87,27 @@
 
     def __init__(
         self,
-        lives: dict[int, Life] | None = None,
-        absences: list[Absence] | None = None,
+        timelines: dict[int, Timeline] | None = None,
+        outages: list[Outage] | None = None,
         partitioned: Callable[[int, int, float], bool] = lambda zone, other, at: False,
     ) -> None:
-        self.lives = lives or {}
-        self.absences = absences or []
+        self.timelines = timelines or {}
+        self.outages = outages or []
         self.partitioned = partitioned
 
     def server_state(self, server: int, router_zone: int, server_zone: int, at: float) -> str:
         """Return `up`, `hang` or `lost`: the state of a server as seen from a router's zone."""
-        life = self.lives.get(server)
-        if self.partitioned(router_zone, server_zone, at) or (life is not None and not life.is_up(at)):
+        timeline = self.timelines.get(server)
+        if self.partitioned(router_zone, server_zone, at) or (
+            timeline is not None and not timeline.is_up(at)
+        ):
             return "lost"
-        return "hang" if life is not None and life.is_hanging(at) else "up"
+        return "hang" if timeline is not None and timeline.is_hanging(at) else "up"
 
-    def warmth(self, server: int, at: float, cold: float, ramp: float) -> float:
+    def warm_up_share(self, server: int, at: float, cold: float, ramp: float) -> float:
         """Return the share of its usual hits that a server has at its age: from `cold` to 1 over `ramp`."""
-        life = self.lives.get(server)
-        started = life.start_time(at) if life is not None else None
+        timeline = self.timelines.get(server)
+        started = timeline.start_time(at) if timeline is not None else None
         return 1.0 if started is None else min(1.0, cold + (1 - cold) * (at - started) / max(ramp, 1e-3))
 
 
@@ -120,7 +122,7 @@
     )
 
 
-class Meter:
+class InstanceMeter:
     """The resources that one instance used over the whole schedule."""
 
     def __init__(self) -> None:
@@ -139,7 +141,7 @@
 class MeteredRouter(Router):
     """A router whose processor time is counted by kind of event."""
 
-    def __init__(self, settings: api.Settings, seed: int, now: float, meter: Meter) -> None:
+    def __init__(self, settings: api.Settings, seed: int, now: float, meter: InstanceMeter) -> None:
         super().__init__(settings, seed, now)
         self.meter = meter
 
@@ -167,11 +169,11 @@
     def kill(self) -> int:
         """Stop at once; returns the number of requests left without an answer."""
         self.killed = True
-        for taken in self.requests.values():
-            for attempt in taken.attempts.values():
+        for tracked in self.requests.values():
+            for attempt in tracked.attempts.values():
                 if attempt.exchange is not None:
                     attempt.exchange.abandon()
-        return sum(not taken.closed for taken in self.requests.values())
+        return sum(not tracked.closed for tracked in self.requests.values())
 
 
 class ModelExchange(Exchange):
@@ -238,7 +240,7 @@
 class MeteredClient(HttpClient):
     """Counts the calls to discovery and their bytes, by address: each instance calls one of its own."""
 
-    meters: dict[str, Meter] = {}
+    meters: dict[str, InstanceMeter] = {}
     received_at: dict[str, int] = {}  # when the latest bytes arrived, in the thread's processor time (ns)
 
     def request(
@@ -305,7 +307,7 @@
         self.rate = rate  # requests per second
         self.zone = number % process.zones
         self.random = random.Random(f"{process.plan.seed} {number}")
-        self.meter = Meter()
+        self.meter = InstanceMeter()
         self.request_number = self.generated = 0  # for request ids, and to compare with the planned rate
         self.host: HollowHost | None = None
         self.discovery: DiscoveryClient | None = None
@@ -322,16 +324,18 @@
         seed = self.random.getrandbits(32)
         host = self.host = HollowHost(settings, seed, pool, self._subscribe)
         host.router = MeteredRouter(settings, seed, host.clock.now(), self.meter)
-        on_list, on_failure = self._list_received, self._list_failed
+        on_list, on_failure = self._on_list, self._on_list_failure
         self.discovery = DiscoveryClient(self.address, process.index, on_list, on_failure)
         host.on_server_list(api.ListKind.SAVED, process.members)
         if not settings.subscribe:
             self.discovery.subscribe()  # pushed lists arrive by the same calls
-        peers = PeerSocket(addresses.peer_listen(self.number), [], addresses.peers_all(), self._peer_heard)
+        peers = PeerSocket(
+            addresses.peer_listen(self.number), [], addresses.peers_all(), self._on_peer_message
+        )
         peers.peers = (
             process.peers
         )  # one set for all instances: a set of thousands for each would fill the memory
-        self.peers, host.broadcast = peers, self._tell_peers
+        self.peers, host.broadcast = peers, self._broadcast
         await peers.start()
 
     def stop(self) -> None:
@@ -361,10 +365,10 @@
         server, experiment = self.process.server_number(address), self.process.plan.experiment
         if server is None:
             return True
-        warmth = self.process.schedule.warmth(
+        hit_factor = self.process.schedule.warm_up_share(
             server, self.process.elapsed(), experiment.cold_share, experiment.ramp
         )
-        return self.random.random() < experiment.requests.hits * warmth
+        return self.random.random() < experiment.requests.hits * hit_factor
 
     # Requests
 
@@ -389,9 +393,9 @@
             deadline,
             VALUE if write else None,
         )
-        self.host.submit(command, self._answered)
+        self.host.submit(command, self._on_answer)
 
-    def _answered(self, answer: bytes) -> None:
+    def _on_answer(self, answer: bytes) -> None:
         self.meter.counts["served" if answer.startswith(b"$") else "unserved"] += 1
 
     # Discovery and peers
@@ -400,7 +404,7 @@
         if self.discovery is not None:
             self.discovery.subscribe()
 
-    def _list_received(self, kind: api.ListKind, members: list[Member]) -> None:
+    def _on_list(self, kind: api.ListKind, members: list[Member]) -> None:
         received = MeteredClient.received_at.get(self.address)
         if received is not None:
             # parsing the response, without the dial; one without changes is counted when it is handled
@@ -409,19 +413,19 @@
         if self.host is not None:
             self.host.on_server_list(kind, members)
 
-    def _list_failed(self) -> None:
+    def _on_list_failure(self) -> None:
         self.meter.counts["calls.failed"] += 1
         if self.host is not None:
             self.host.on_list_failed()
 
-    def _peer_heard(self, content: bytes) -> None:
+    def _on_peer_message(self, content: bytes) -> None:
         second = int(self.process.elapsed()) if self.process.elapsed() >= 0 else -1
         self.meter.messages_in[second] += 1
         self.meter.bytes_in[second] += len(content)
         if self.host is not None:
             self.host.on_peer_message(content)
 
-    def _tell_peers(self, content: bytes) -> None:
+    def _broadcast(self, content: bytes) -> None:
         self.meter.counts["told"] += 1
         self.meter.counts["bytes.out.peers"] += len(content)
         if self.peers is not None:
@@ -486,10 +490,10 @@
     meaningless, where `asked`, the share of the planned requests that were generated, is well below 1, or the
     lag is not far below a second.
     """
-    full_rate = plan.experiment.requests.full_rate
+    full_role_rate = plan.experiment.requests.full_rate
     groups: defaultdict[str, list[HollowRouter]] = defaultdict(list)
     for instance in instances:
-        groups["full" if instance.rate == full_rate and plan.experiment.fleet.full else "hollow"].append(
+        groups["full" if instance.rate == full_role_rate and plan.experiment.fleet.full else "hollow"].append(
             instance
         )
     whole_seconds = int(min(seconds, plan.experiment.seconds))
@@ -537,12 +541,12 @@
     return [requests.full_rate if i < full else requests.hollow_rate for i in range(len(plan.hollow))]
 
 
-async def play_absences(instance: HollowRouter, absences: list[Absence]) -> None:
-    """Kill and restart a router at the times of its absences."""
-    for absence in absences:
-        await asyncio.sleep(max(0.0, absence.start - instance.process.elapsed()))
+async def play_outages(instance: HollowRouter, outages: list[Outage]) -> None:
+    """Kill and restart a router at the times of its outages."""
+    for outage in outages:
+        await asyncio.sleep(max(0.0, outage.start - instance.process.elapsed()))
         instance.stop()
-        await asyncio.sleep(max(0.0, absence.end - instance.process.elapsed()))
+        await asyncio.sleep(max(0.0, outage.end - instance.process.elapsed()))
         await instance.start()
         instance.generate_request()
 
@@ -597,10 +601,10 @@
                 process.schedule = shared_schedule(with_schedule_start(plan, process.schedule_start))
             await asyncio.wait((end_wait,), timeout=max(0.0, -process.elapsed()))
         for instance in instances:  # new meters, as the start phase does not count
-            meter = Meter()
-            instance.meter = MeteredClient.meters[instance.address] = meter
+            new_meter = InstanceMeter()
+            instance.meter = MeteredClient.meters[instance.address] = new_meter
             if instance.host is not None and isinstance(instance.host.router, MeteredRouter):
-                instance.host.router.meter = meter
+                instance.host.router.meter = new_meter
         lags: list[float] = []
         tasks.append(asyncio.create_task(sample_lag(lags)))
         began, cpu_seconds = time.monotonic(), time.process_time()
@@ -610,12 +614,12 @@
                     instance.random.expovariate(instance.rate) if instance.rate else 1e9,
                     instance.generate_request,
                 )
-            by_router: defaultdict[int, list[Absence]] = defaultdict(list)
-            for absence in process.schedule.absences:
-                by_router[absence.router].append(absence)
+            by_router: defaultdict[int, list[Outage]] = defaultdict(list)
+            for outage in process.schedule.outages:
+                by_router[outage.router].append(outage)
             by_number = {i.number: i for i in instances}
             tasks += [
-                asyncio.create_task(play_absences(by_number[n], a))
+                asyncio.create_task(play_outages(by_number[n], a))
                 for n, a in by_router.items()
                 if n in by_number
             ]
--- a/fleetlab/measure.py
+++ b/fleetlab/measure.py
@@ -102,9 +102,9 @@
         if not first:
             by_metric["lab", "machine.cpu.share"] = [busy]
             self._samples["lab", "", ""].values["machine.cpu.share"].append(busy)
-        for name, values in by_metric.items():
-            if not name[1].endswith("connections"):
-                self._series[name].append(sum(values) / len(values))
+        for series_key, values in by_metric.items():
+            if not series_key[1].endswith("connections"):
+                self._series[series_key].append(sum(values) / len(values))
         self._last_sample = now
         self._sample_count += 1
         return total
--- a/fleetlab/runner.py
+++ b/fleetlab/runner.py
@@ -53,7 +53,7 @@
     """A play can't continue; the message gives the cause."""
 
 
-class Absence(Protocol):
+class Outage(Protocol):
     """A time in which a router is down, in seconds of the schedule; see `fleetlab.standins.schedule`."""
 
     router: int
@@ -131,7 +131,7 @@
     return experiment.memory_share * psutil.virtual_memory().total / 1e6
 
 
-def router_command(root: Path = ROOT) -> tuple[str, list[str]]:
+def prepare_router_command(root: Path = ROOT) -> tuple[str, list[str]]:
     """Return the shell command that starts a real router, and notes for the result.
 
     It is the deploy file's `run`, after its `build` if there is no virtual environment yet. If the build
@@ -158,10 +158,10 @@
     return f"exec '{sys.executable}' -B -m brackenwalk"
 
 
-def router_absences(plan: Plan) -> Sequence[Absence]:
+def router_outages(plan: Plan) -> Sequence[Outage]:
     """Return when which routers are down, as all workers derive it from the same plan."""
     schedule: Any = importlib.import_module("fleetlab.standins.schedule")
-    return cast(Sequence[Absence], schedule.router_outages(plan))
+    return cast(Sequence[Outage], schedule.router_outages(plan))
 
 
 def router_seed(seed: int, number: int, start: int) -> str:
@@ -177,10 +177,10 @@
 class Options:
     """How to play, apart from what the experiment says."""
 
-    router_command: str = ""  # a real router's shell command; empty: the function `router_command`
+    router_command: str = ""  # a real router's shell command; empty: that of `prepare_router_command`
     worker_command: Sequence[str] = (sys.executable, "-B", "-m", "fleetlab.worker")
     module_command: Sequence[str] = (sys.executable, "-B", "-m", "fleetlab", "module")
-    absences: Callable[[Plan], Sequence[Absence]] = router_absences
+    outages: Callable[[Plan], Sequence[Outage]] = router_outages
     log_dir: Path | None = None  # where all logs are kept
     command_line: str = ""  # for the result
     progress: Callable[[str, float, float], None] = _no_progress  # stage, seconds done, seconds in all
@@ -314,7 +314,7 @@
         self.start_counts: dict[int, int] = {}  # by real router
         self.failure: asyncio.Future[str] = asyncio.get_running_loop().create_future()
         self.tasks: set[asyncio.Task[None]] = set()
-        self.absence_tasks: set[asyncio.Task[None]] = set()
+        self.outage_tasks: set[asyncio.Task[None]] = set()
         self.spawning: set[asyncio.Task[ChildProcess]] = set()
         self.log_dir = options.log_dir or directory / "logs"
         self.log_dir.mkdir(parents=True, exist_ok=True)
@@ -448,15 +448,15 @@
             await asyncio.gather(self._start_parts([p for p in parts if p[0] == "hollow"]), *real)
             await self._start_parts([p for p in parts if p[0] == "clients"])
 
-    async def _play_absence(self, absence: Absence, schedule_start: float) -> None:
+    async def _play_outage(self, outage: Outage, schedule_start: float) -> None:
         """Stop a real router and start it again."""
-        await asyncio.sleep(schedule_start + absence.start - time.time())
-        child = self.routers[absence.router]
+        await asyncio.sleep(schedule_start + outage.start - time.time())
+        child = self.routers[outage.router]
         if child.exit_expected:
-            self.notes.append(f"{child.name} was down already at {absence.start:g} s")
+            self.notes.append(f"{child.name} was down already at {outage.start:g} s")
             return
         child.exit_expected = True
-        child.signal(signal.SIGTERM if absence.kind == "restart" else signal.SIGKILL)
+        child.signal(signal.SIGTERM if outage.kind == "restart" else signal.SIGKILL)
         try:
             async with asyncio.timeout(TERMINATE_TIMEOUT_S):
                 await child.process.wait()
@@ -466,11 +466,11 @@
             )
             child.signal(signal.SIGKILL)
             await child.process.wait()
-        if absence.kind != "restart":
-            await asyncio.sleep(schedule_start + absence.end - time.time())
+        if outage.kind != "restart":
+            await asyncio.sleep(schedule_start + outage.end - time.time())
         try:
             async with asyncio.timeout(self.experiment.settle):
-                await self._start_router(absence.router, self.restart_times)
+                await self._start_router(outage.router, self.restart_times)
         except TimeoutError:
             self.fail(f"{child.name} was not ready again within {self.experiment.settle:g} s (settle)")
 
@@ -504,9 +504,9 @@
         for worker in workers:
             if worker.process.stdin is not None:
                 worker.process.stdin.write(orjson.dumps({"began": schedule_start}) + b"\n")
-        for absence in self.options.absences(self.plan) if self.experiment.faults else []:
-            if absence.router < self.experiment.fleet.real:
-                self.absence_tasks.add(self._create_task(self._play_absence(absence, schedule_start)))
+        for outage in self.options.outages(self.plan) if self.experiment.faults else []:
+            if outage.router < self.experiment.fleet.real:
+                self.outage_tasks.add(self._create_task(self._play_outage(outage, schedule_start)))
         second, missed = 0.0, 0
         while True:
             await asyncio.sleep(schedule_start + second - time.time())
@@ -519,8 +519,8 @@
             second = min(second + 1 + behind, seconds)
         if missed:
             self.notes.append(f"{missed} samples missed: the machine was too busy to sample every second")
-        if self.absence_tasks:  # restarts near the end still count
-            await asyncio.wait(self.absence_tasks, timeout=self.experiment.settle)
+        if self.outage_tasks:  # restarts near the end still count
+            await asyncio.wait(self.outage_tasks, timeout=self.experiment.settle)
         try:
             async with asyncio.timeout(REPORT_TIMEOUT_S):
                 await asyncio.gather(*(w.reported.wait() for w in workers))
@@ -549,7 +549,7 @@
 
     async def stop(self) -> None:
         """Stop all processes with SIGTERM, whereupon workers may still report, then with SIGKILL."""
-        for task in self.absence_tasks:
+        for task in self.outage_tasks:
             task.cancel()
         await asyncio.gather(*self.spawning, return_exceptions=True)
         for child in self.children:
@@ -610,18 +610,18 @@
         self.requested.set()
 
 
-async def _run_until_stopped(work: Coroutine[Any, Any, None], play: Play, stop: StopRequest) -> None:
+async def _run_until_stopped(work: Coroutine[Any, Any, None], play: Play, stop_request: StopRequest) -> None:
     """Run work to its end. Raises PlayFailed if the play fails or a stop is requested before."""
     task = asyncio.ensure_future(work)
-    stop_wait = asyncio.ensure_future(stop.requested.wait())
+    stop_wait = asyncio.ensure_future(stop_request.requested.wait())
     waits: list[asyncio.Future[Any]] = [task, stop_wait, play.failure]
     await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
     stop_wait.cancel()
-    if play.failure.done() or stop.requested.is_set():
+    if play.failure.done() or stop_request.requested.is_set():
         task.cancel()
         with contextlib.suppress(asyncio.CancelledError, TimeoutError, PlayFailed, OSError):
             await task
-        raise PlayFailed("interrupted" if stop.requested.is_set() else play.failure.result())
+        raise PlayFailed("interrupted" if stop_request.requested.is_set() else play.failure.result())
     try:
         await task
     except TimeoutError:
@@ -632,16 +632,16 @@
         ) from None
 
 
-async def _play_once(play: Play, stop: StopRequest) -> str:
+async def _play_once(play: Play, stop_request: StopRequest) -> str:
     """Play on the chosen addresses. Returns why the play was aborted, or an empty string."""
-    stop.play = play
+    stop_request.play = play
     try:
         if play.experiment.mode == "module":
-            await _run_until_stopped(play.measure_module(), play, stop)
+            await _run_until_stopped(play.measure_module(), play, stop_request)
         else:
             play.options.progress("starting", 0.0, play.experiment.settle)
-            await _run_until_stopped(play.start(), play, stop)
-            await _run_until_stopped(play.schedule(), play, stop)
+            await _run_until_stopped(play.start(), play, stop_request)
+            await _run_until_stopped(play.schedule(), play, stop_request)
     except (PlayFailed, OSError) as e:
         return str(e) or type(e).__name__
     finally:
@@ -650,24 +650,24 @@
 
 
 async def _play(experiment: Experiment, seed: int, options: Options) -> FinishedPlay:
-    stop = StopRequest()
+    stop_request = StopRequest()
     loop = asyncio.get_running_loop()
     for number in (signal.SIGINT, signal.SIGTERM):
-        loop.add_signal_handler(number, stop)
+        loop.add_signal_handler(number, stop_request)
     commit, dirty = git_commit()
     began = datetime.now(UTC).isoformat(timespec="seconds")
     notes: list[str] = []
     if not options.router_command and experiment.mode == "live" and experiment.fleet.real:
-        options.router_command, notes = await asyncio.to_thread(router_command)
+        options.router_command, notes = await asyncio.to_thread(prepare_router_command)
     raise_descriptor_limit()
     for attempt in range(1, MAX_STARTS + 1):
         with tempfile.TemporaryDirectory(prefix="fleetlab-") as directory:
             addresses, lock = choose_addresses()
             with lock:
                 play = Play(experiment, seed, options, Path(directory), addresses)
-                cause = await _play_once(play, stop)
+                cause = await _play_once(play, stop_request)
                 address_taken = any("address already in use" in c.log_tail().lower() for c in play.children)
-        if cause and address_taken and not stop.requested.is_set() and attempt < MAX_STARTS:
+        if cause and address_taken and not stop_request.requested.is_set() and attempt < MAX_STARTS:
             notes.append(f"started again on other addresses: {cause}")
             continue
         break
@@ -690,7 +690,7 @@
         notes=notes,
         broken_off=bool(cause),
     )
-    return FinishedPlay(result, stop.requested.is_set())
+    return FinishedPlay(result, stop_request.requested.is_set())
 
 
 def play(experiment: Experiment, seed: int, options: Options | None = None) -> FinishedPlay:
@@ -715,5 +715,5 @@
     "current_python_command",
     "estimate_resources",
     "play",
-    "router_command",
+    "prepare_router_command",
 ]
--- a/fleetlab/standins/caches.py
+++ b/fleetlab/standins/caches.py
@@ -24,7 +24,7 @@
     Meter,
     TimedAction,
     host_port,
-    mean_with_range,
+    mean_and_range,
     reset_connection,
     run_schedule,
 )
@@ -35,7 +35,7 @@
     partitions,
     server_timelines,
     warm_capacity,
-    warmup_share,
+    warm_up_share,
 )
 
 LATENCY_SIGMA = 0.4  # of the lognormal distribution of response times
@@ -226,7 +226,7 @@
             counts["cut"] += 1  # not answered after the partition ends either
             return
         started_at = self.timeline.start_time(at)
-        capacity = cluster.capacity * warmup_share(cluster.plan, started_at, at)
+        capacity = cluster.capacity * warm_up_share(cluster.plan, started_at, at)
         if started_at is not None and at < started_at + experiment.ramp:
             self.record_cold_load(at, capacity)
         if at >= self.timeline.drain_start + experiment.drain_grace or not self.bucket.try_take(
@@ -235,11 +235,11 @@
             counts["busy"] += 1
             answer(b"-BUSY\r\n")
             return
-        warm = 1.0 if started_at is None else min(1.0, (at - started_at) / max(experiment.ramp, 1e-9))
+        hit_factor = 1.0 if started_at is None else min(1.0, (at - started_at) / max(experiment.ramp, 1e-9))
         if parts[0] == b"C.SET":
             counts["writes"] += 1
             reply = b"-ERR failed\r\n"  # only the origin accepts writes
-        elif cluster.rng.random() < experiment.requests.hits * warm:
+        elif cluster.rng.random() < experiment.requests.hits * hit_factor:
             counts["hits"] += 1
             value = make_value(parts[2], parts[1])
             reply = b"*3\r\n$%d\r\n%b\r\n$3\r\nhit\r\n$-1\r\n" % (len(value), value)
@@ -275,7 +275,7 @@
         self.rng = Random(f"caches {plan.seed}")
         self.capacity = warm_capacity(plan, real_only=True)
         self.partitions: list[Partition] = partitions(plan)
-        self.schedule_start = math.inf  # event loop time
+        self.loop_start = math.inf  # event loop time
         self.servers = {n: Server(self, timeline) for n, timeline in server_timelines(plan).items()}
         self.meter.gauges["connections"] = self.sample_connections
         self.connection_counts: list[list[int]] = []
@@ -283,7 +283,7 @@
 
     def schedule_time(self) -> float:
         """Return the seconds since the schedule began, negative before."""
-        return self.loop.time() - self.schedule_start
+        return self.loop.time() - self.loop_start
 
     def random_latency_s(self) -> float:
         """Return a random response time in seconds."""
@@ -320,11 +320,11 @@
 
     def scheduled_actions(self, start: float) -> list[TimedAction]:
         """Return the starts, ends and hangs of servers; called when the schedule begins."""
-        self.schedule_start = self.loop.time()
+        self.loop_start = self.loop.time()
         actions: list[TimedAction] = []
         for server in self.servers.values():
-            for began in [u.start for u in server.timeline.uptimes if u.start >= 0]:
-                actions.append((began, partial(self.open_server, server)))
+            for start_at in [u.start for u in server.timeline.uptimes if u.start >= 0]:
+                actions.append((start_at, partial(self.open_server, server)))
             actions += [(u.end, server.close) for u in server.timeline.uptimes if u.end < math.inf]
             for hang, resume in server.timeline.hangs:
                 actions += [(hang, server.hang), (resume, server.resume)]
@@ -344,12 +344,12 @@
         for name in ("requests", "hits", "misses", "busy", "writes", "syntax", "cut", "handshakes"):
             metrics[name] = meter.rate(name)
         samples = [n for counts in self.connection_counts for n in counts]
-        metrics["connections"] = mean_with_range([float(n) for n in samples], "connections")
+        metrics["connections"] = mean_and_range([float(n) for n in samples], "connections")
         cold = [s for s in self.servers.values() if any(u.start >= 0 for u in s.timeline.uptimes)]
         if cold:
             peaks = [s.peak_window_share for s in cold]
             metrics["cold.window"] = Metric(max(peaks), "share", min(peaks), max(peaks), len(peaks))
-            metrics["cold.window.sent"] = mean_with_range(
+            metrics["cold.window.sent"] = mean_and_range(
                 [float(s.peak_window_requests) for s in cold], "requests"
             )
         metrics["capacity.warm"] = Metric(self.capacity, "1/s")
@@ -357,7 +357,7 @@
 
 
 async def run(
-    plan: Plan, ready: Callable[[], None], began: Awaitable[float], ended: asyncio.Event
+    plan: Plan, ready: Callable[[], None], schedule_start: Awaitable[float], ended: asyncio.Event
 ) -> dict[str, Role]:
     """Run all cache servers until the schedule is over or `ended` is set, and return the role `caches`."""
     cluster = CacheCluster(plan)
@@ -369,7 +369,9 @@
         roles["caches"] = cluster.role()
 
     try:
-        await run_schedule(plan, began, ended, cluster.meter, cluster.scheduled_actions, finish=finish)
+        await run_schedule(
+            plan, schedule_start, ended, cluster.meter, cluster.scheduled_actions, finish=finish
+        )
     finally:
         cluster.close()
     return roles
--- a/fleetlab/standins/clients.py
+++ b/fleetlab/standins/clients.py
@@ -214,11 +214,11 @@
         rate, seconds = self.plan.experiment.requests.rate, self.plan.experiment.seconds
         if rate <= 0:
             return
-        schedule_start = self.loop.time() + start - time.time()
+        loop_start = self.loop.time() + start - time.time()
         at = self.rng.expovariate(rate)
         while at < seconds:
-            await asyncio.sleep(max(0.0, schedule_start + at - self.loop.time()))
-            self.spawn(self.run_request(self.choose_router(router), self.new_request(schedule_start + at)))
+            await asyncio.sleep(max(0.0, loop_start + at - self.loop.time()))
+            self.spawn(self.run_request(self.choose_router(router), self.new_request(loop_start + at)))
             at += self.rng.expovariate(rate)
 
     def choose_router(self, router: RouterEndpoint) -> RouterEndpoint:
@@ -347,7 +347,7 @@
 
 
 async def run(
-    plan: Plan, ready: Callable[[], None], began: Awaitable[float], ended: asyncio.Event
+    plan: Plan, ready: Callable[[], None], schedule_start: Awaitable[float], ended: asyncio.Event
 ) -> dict[str, Role]:
     """Run the clients until the schedule is over or `ended` is set, and return the role `clients`.
 
@@ -364,7 +364,7 @@
         await asyncio.sleep(HEALTH_CHECK_INTERVAL_S)
     ready()
     try:
-        await run_schedule(plan, began, ended, clients.meter, clients.scheduled_actions)
+        await run_schedule(plan, schedule_start, ended, clients.meter, clients.scheduled_actions)
         return {"clients": clients.role()} if clients.meter.elapsed_s else {}
     finally:
         clients.close()
--- a/fleetlab/standins/discovery.py
+++ b/fleetlab/standins/discovery.py
@@ -29,7 +29,7 @@
     Meter,
     TimedAction,
     host_port,
-    mean_with_range,
+    mean_and_range,
     percentiles,
     reset_connection,
     run_schedule,
@@ -227,7 +227,7 @@
         self.bytes_out = [0] * count
         self.propagation_times = array("d")  # seconds from publication until written to a router
         self.missed_updates = 0
-        self.schedule_start = 0.0
+        self.unix_start = 0.0
         self.outages: dict[int, list[RouterOutage]] = {}
         self.meter.gauges["calls.waiting"] = lambda: float(len(self.queue))
 
@@ -352,9 +352,7 @@
     def was_down(self, router: int, start: float, end: float) -> bool:
         """Whether a router had an outage between two Unix times."""
         own_outages = self.outages.get(router, ())
-        return any(
-            self.schedule_start + o.start <= end and start <= self.schedule_start + o.end for o in own_outages
-        )
+        return any(self.unix_start + o.start <= end and start <= self.unix_start + o.end for o in own_outages)
 
     def publish(self, change: ListChange) -> None:
         """Add the next version of the list and send it to all waiting watches."""
@@ -364,7 +362,7 @@
 
     def scheduled_actions(self, start: float) -> list[TimedAction]:
         """Return the changes and outages of the schedule, and reset the counters that exclude start-up."""
-        self.schedule_start = start
+        self.unix_start = start
         plan = msgspec.structs.replace(self.plan, schedule_start=start)
         for outage in router_outages(plan):
             self.outages.setdefault(outage.router, []).append(outage)
@@ -415,22 +413,24 @@
         real = self.plan.experiment.fleet.real
         for name, counted in (("in", self.bytes_in), ("out", self.bytes_out)):
             rates = [n / elapsed_s for n in counted]
-            metrics[f"bytes.{name}.discovery"] = mean_with_range(rates, "B/s")
-            metrics[f"bytes.{name}.discovery.real"] = mean_with_range(rates[:real], "B/s")
-            metrics[f"bytes.{name}.discovery.hollow"] = mean_with_range(rates[real:], "B/s")
+            metrics[f"bytes.{name}.discovery"] = mean_and_range(rates, "B/s")
+            metrics[f"bytes.{name}.discovery.real"] = mean_and_range(rates[:real], "B/s")
+            metrics[f"bytes.{name}.discovery.hollow"] = mean_and_range(rates[real:], "B/s")
         metrics |= percentiles("force", self.propagation_times, (50, 99))
         return Role(1, metrics, dict(meter.per_second))
 
 
 async def run(
-    plan: Plan, ready: Callable[[], None], began: Awaitable[float], ended: asyncio.Event
+    plan: Plan, ready: Callable[[], None], schedule_start: Awaitable[float], ended: asyncio.Event
 ) -> dict[str, Role]:
     """Run discovery until the schedule is over or `ended` is set, and return the role `discovery`."""
     server = DiscoveryServer(plan)
     await server.open()
     ready()
     try:
-        await run_schedule(plan, began, ended, server.meter, server.scheduled_actions, finish=server.finish)
+        await run_schedule(
+            plan, schedule_start, ended, server.meter, server.scheduled_actions, finish=server.finish
+        )
     finally:
         server.close()
     return {"discovery": server.role} if server.meter.elapsed_s else {}
--- a/fleetlab/standins/lifecycle.py
+++ b/fleetlab/standins/lifecycle.py
@@ -109,7 +109,7 @@
     return metrics | {f"{name}.max": Metric(high, "s", low, high, count)}
 
 
-def mean_with_range(values: Sequence[float], unit: str) -> Metric:
+def mean_and_range(values: Sequence[float], unit: str) -> Metric:
     """Return the mean of the instances' values with their range."""
     if not values:
         return Metric(0.0, unit)
@@ -123,9 +123,9 @@
         action()
 
 
-async def wait_for_start(began: Awaitable[float], ended: asyncio.Event) -> float | None:
+async def wait_for_start(schedule_start: Awaitable[float], ended: asyncio.Event) -> float | None:
     """Wait until the schedule begins and return its Unix time; None if `ended` is set first."""
-    start_known = asyncio.ensure_future(began)
+    start_known = asyncio.ensure_future(schedule_start)
     end = asyncio.create_task(ended.wait())
     try:
         await asyncio.wait({start_known, end}, return_when=asyncio.FIRST_COMPLETED)
@@ -142,7 +142,7 @@
 
 async def run_schedule(
     plan: Plan,
-    began: Awaitable[float],
+    schedule_start: Awaitable[float],
     ended: asyncio.Event,
     meter: Meter,
     actions: Callable[[float], Iterable[TimedAction]],
@@ -154,7 +154,7 @@
     `actions` returns the timed actions, given the schedule's Unix start time; `finish` is called after the
     last second. If `ended` is set before the schedule begins, returns at once without calling `finish`.
     """
-    start = await wait_for_start(began, ended)
+    start = await wait_for_start(schedule_start, ended)
     if start is None:
         return
     actions_task = asyncio.create_task(run_actions(actions(start), start))
--- a/fleetlab/standins/network.py
+++ b/fleetlab/standins/network.py
@@ -44,7 +44,7 @@
         self.sockets = [self._socket(addresses.peer_advertised(n)) for n in range(count)]
         self.loss_share = plan.experiment.network.loss
         self.partitions: list[Partition] = partitions(plan)
-        self.schedule_start = math.inf
+        self.loop_start = math.inf
         self.overruns_before = 0
         self._update_mode(-math.inf)
 
@@ -117,8 +117,7 @@
         network, rng = self.plan.experiment.network, self.rng
         zones = self.zones[sender], self.zones[receiver]
         if rng.random() < self.loss_share or (
-            self.has_partition
-            and is_partitioned(self.partitions, *zones, self.loop.time() - self.schedule_start)
+            self.has_partition and is_partitioned(self.partitions, *zones, self.loop.time() - self.loop_start)
         ):
             self.meter.counts["dropped"] += 1
             return
@@ -151,7 +150,7 @@
 
     def scheduled_actions(self, start: float) -> list[TimedAction]:
         """Return the times at which faults change the network; called when the schedule begins."""
-        self.schedule_start = self.loop.time()
+        self.loop_start = self.loop.time()
         self.overruns_before = self.overruns()
         faults = [f for f in self.plan.experiment.faults if f.kind in ("network", "region_cut")]
         times = {change_time for f in faults for change_time in (f.at, f.at + f.lasts)}
@@ -177,7 +176,7 @@
 
 
 async def run(
-    plan: Plan, ready: Callable[[], None], began: Awaitable[float], ended: asyncio.Event
+    plan: Plan, ready: Callable[[], None], schedule_start: Awaitable[float], ended: asyncio.Event
 ) -> dict[str, Role]:
     """Run the peers' network until the schedule is over or `ended` is set, and return the role `network`."""
     network = Network(plan)
@@ -189,7 +188,9 @@
         roles["network"] = network.role()
 
     try:
-        await run_schedule(plan, began, ended, network.meter, network.scheduled_actions, finish=finish)
+        await run_schedule(
+            plan, schedule_start, ended, network.meter, network.scheduled_actions, finish=finish
+        )
     finally:
         network.close()
     return roles
--- a/fleetlab/standins/origin.py
+++ b/fleetlab/standins/origin.py
@@ -123,7 +123,7 @@
         self.capacity = CAPACITY_FACTOR * share * plan.experiment.fleet.real * requests.rate
         self.bucket = TokenBucket(self.loop.time())
         self.partitions = partitions(plan)
-        self.schedule_start = math.inf
+        self.loop_start = math.inf
         self.meter.gauges["connections"] = lambda: float(len(self.connections))
 
     def handle_request(
@@ -133,7 +133,7 @@
         counts, now = self.meter.counts, self.loop.time()
         counts["requests"] += 1
         zone = zone_of_request(request_id, self.plan.experiment.fleet.zones)
-        if is_partitioned(self.partitions, 0, zone, now - self.schedule_start):  # the origin is in zone 0
+        if is_partitioned(self.partitions, 0, zone, now - self.loop_start):  # the origin is in zone 0
             counts["cut"] += 1
         elif not self.bucket.try_take(now, self.capacity):
             counts["busy"] += 1
@@ -147,7 +147,7 @@
 
     def scheduled_actions(self, start: float) -> list[TimedAction]:
         """Note the schedule's start; no fault changes the origin."""
-        self.schedule_start = self.loop.time()
+        self.loop_start = self.loop.time()
         return []
 
     def role(self) -> Role:
@@ -159,7 +159,7 @@
 
 
 async def run(
-    plan: Plan, ready: Callable[[], None], began: Awaitable[float], ended: asyncio.Event
+    plan: Plan, ready: Callable[[], None], schedule_start: Awaitable[float], ended: asyncio.Event
 ) -> dict[str, Role]:
     """Run the origin until the schedule is over or `ended` is set, and return the role `origin`."""
     origin = Origin(plan)
@@ -173,7 +173,7 @@
         roles["origin"] = origin.role()
 
     try:
-        await run_schedule(plan, began, ended, origin.meter, origin.scheduled_actions, finish=finish)
+        await run_schedule(plan, schedule_start, ended, origin.meter, origin.scheduled_actions, finish=finish)
     finally:
         server.close()
         for connection in list(origin.connections):
--- a/fleetlab/standins/schedule.py
+++ b/fleetlab/standins/schedule.py
@@ -273,7 +273,7 @@
     return rate / fleet.servers / UTILIZATION_SHARE
 
 
-def warmup_share(plan: Plan, started_at: float | None, at: float) -> float:
+def warm_up_share(plan: Plan, started_at: float | None, at: float) -> float:
     """Return the share of its warm capacity that a server has: from `cold_share` to 1 over `ramp` seconds."""
     if started_at is None:
         return 1.0
@@ -296,5 +296,5 @@
     "router_outages",
     "server_timelines",
     "warm_capacity",
-    "warmup_share",
+    "warm_up_share",
 ]
--- a/fleetlab/worker.py
+++ b/fleetlab/worker.py
@@ -26,7 +26,7 @@
 VIOLATIONS = {"clients": ("foreign", "unasked"), "caches": ("syntax", "writes"), "origin": ("malformed",)}
 
 
-class Part(Protocol):
+class PartModule(Protocol):
     """The interface of each part's module."""
 
     async def run(
@@ -45,10 +45,10 @@
     unix_time: float = msgspec.field(name="began")
 
 
-def load_part(plan: Plan) -> Part:
+def load_part(plan: Plan) -> PartModule:
     """Import the part's module, the only one of them that this process loads."""
     name = "fleetlab.hollow" if plan.part == "hollow" else f"fleetlab.standins.{plan.part}"
-    return cast(Part, importlib.import_module(name))
+    return cast(PartModule, importlib.import_module(name))
 
 
 def log_to_stderr() -> None:
--- a/tests/test_lab_hollow.py
+++ b/tests/test_lab_hollow.py
@@ -164,7 +164,7 @@
 
 
 @dataclass(frozen=True)
-class FakeAbsence:
+class FakeOutage:
     """A router that is down from `start` to `end`."""
 
     router: int
@@ -184,8 +184,8 @@
         def serve(number: int) -> Callable[[asyncio.StreamReader, asyncio.StreamWriter], object]:
             return lambda reader, writer: self.answer(number, reader, writer)
 
-        addresses = [parse_address(self.plan.addresses.discovery(n)) for n in self.plan.hollow]
-        pairs = zip(self.plan.hollow, addresses, strict=True)
+        discovery_addresses = [parse_address(self.plan.addresses.discovery(n)) for n in self.plan.hollow]
+        pairs = zip(self.plan.hollow, discovery_addresses, strict=True)
         return [await asyncio.start_server(serve(n), *address) for n, address in pairs]  # type: ignore[arg-type]
 
     async def answer(self, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -288,8 +288,8 @@
 
 def test_a_restarted_router_calls_discovery_again_and_lost_servers_serve_nothing() -> None:
     plan = make_plan()
-    lives: dict[int, hollow.Life] = {n: DownFrom(0.0) for n in range(4)}
-    schedule = hollow.Schedule(lives, [FakeAbsence(1, 0.5, 0.8)])
+    timelines: dict[int, hollow.Timeline] = {n: DownFrom(0.0) for n in range(4)}
+    schedule = hollow.Schedule(timelines, [FakeOutage(1, 0.5, 0.8)])
     first_call = "/registry/instances?after=1&wait_ms=3000"
     roles = play(plan, schedule, lambda d, messages: d.calls.count((1, first_call)) == 2)
     metrics = roles["hollow"].metrics
--- a/tests/test_lab_runner.py
+++ b/tests/test_lab_runner.py
@@ -27,7 +27,7 @@
     current_python_command,
     estimate_resources,
     play,
-    router_command,
+    prepare_router_command,
     router_seed,
     worker_parts,
 )
@@ -83,7 +83,7 @@
 
 
 @dataclass
-class FakeAbsence:
+class FakeOutage:
     """A time in which a router is down, as the schedule gives it."""
 
     router: int
@@ -95,10 +95,10 @@
 def test_a_play_starts_measures_and_stops_all_processes(options: Options, tmp_path: Path) -> None:
     options.log_dir = tmp_path / "logs"
     faults = [Fault(kind="restart", at=0.1), Fault(kind="router_lost", at=0.2, lasts=0.3)]
-    options.absences = lambda plan: [
-        FakeAbsence(0, "restart", 0.1, 3.8),
-        FakeAbsence(1, "lost", 0.2, 0.5),
-        FakeAbsence(2, "lost", 1, 2),
+    options.outages = lambda plan: [
+        FakeOutage(0, "restart", 0.1, 3.8),
+        FakeOutage(1, "lost", 0.2, 0.5),
+        FakeOutage(2, "lost", 1, 2),
     ]
     fleet = Fleet(real=2, hollow=3, processes=2, zones=2)
     played = play(Experiment(name="x", seconds=1.5, fleet=fleet, faults=faults), 7, options)
@@ -275,10 +275,10 @@
     (tmp_path / "deploy").mkdir()
     deploy = tmp_path / "deploy" / "balancer.toml"
     deploy.write_text('build = "mkdir .venv"\nrun = "exec it"\n')
-    assert router_command(tmp_path) == ("exec it", []) and (tmp_path / ".venv").exists()
+    assert prepare_router_command(tmp_path) == ("exec it", []) and (tmp_path / ".venv").exists()
     (tmp_path / ".venv").rmdir()
     deploy.write_text('build = "false"\nrun = "exec it"\n')
-    command, (note,) = router_command(tmp_path)
+    command, (note,) = prepare_router_command(tmp_path)
     assert command == current_python_command() and "build failed" in note
 
 
--- a/tests/test_lab_standins.py
+++ b/tests/test_lab_standins.py
@@ -56,7 +56,7 @@
     while True:
         found = Addresses(net=random.randint(20, 250), port=random.randint(20000, 32000))
         try:
-            for address in (found.clients(0), found.discovery(0), found.server(0), found.origin()):
+            for address in (found.client_listen(0), found.discovery(0), found.server(0), found.origin()):
                 with socket.socket() as trial:
                     trial.bind(host_port(address))
         except OSError:
@@ -79,16 +79,16 @@
         self.plan = plan
         self.roles: dict[str, Role] = {}
         self.ended = asyncio.Event()
-        self.began: asyncio.Future[float] = asyncio.get_running_loop().create_future()
+        self.schedule_start: asyncio.Future[float] = asyncio.get_running_loop().create_future()
 
     async def __aenter__(self) -> RunningStandIn:
         startup = asyncio.Event()
-        self.task = asyncio.ensure_future(self.run(self.plan, startup.set, self.began, self.ended))
+        self.task = asyncio.ensure_future(self.run(self.plan, startup.set, self.schedule_start, self.ended))
         await startup.wait()
         return self
 
     def begin(self) -> None:
-        self.began.set_result(time.time())
+        self.schedule_start.set_result(time.time())
 
     async def __aexit__(self, *_: object) -> None:
         self.ended.set()
@@ -178,11 +178,11 @@
     new = next(n for n in timelines if n >= 4)
     assert new % 2 == old % 2  # in the same zone
     assert [e["status"] for c in changes for e in c.entries] == ["terminating", "in_service", "terminated"]
-    assert sched.warmup_share(plan, timelines[old].start_time(3.0), 3.0) == 1.0
+    assert sched.warm_up_share(plan, timelines[old].start_time(3.0), 3.0) == 1.0
     cold, ramp = plan.experiment.cold_share, plan.experiment.ramp
-    assert sched.warmup_share(plan, timelines[new].start_time(2.0), 2.0) == pytest.approx(cold)
-    assert sched.warmup_share(plan, 2.0, 2.0 + ramp / 2) == pytest.approx((1 + cold) / 2)
-    assert sched.warmup_share(plan, 2.0, 2.0 + ramp) == pytest.approx(1.0)
+    assert sched.warm_up_share(plan, timelines[new].start_time(2.0), 2.0) == pytest.approx(cold)
+    assert sched.warm_up_share(plan, 2.0, 2.0 + ramp / 2) == pytest.approx((1 + cold) / 2)
+    assert sched.warm_up_share(plan, 2.0, 2.0 + ramp) == pytest.approx(1.0)
 
 
 def test_delayed_list_changes_are_published_in_order() -> None:
@@ -228,7 +228,9 @@
             for watch in watches:
                 updates = [await watch.results.get() for _ in range(2)]
                 (returned,), (reweighted,) = [n[1] for n in updates if n is not None]
-                assert returned.entry.started_at == pytest.approx((await standin.began) + 0.3, abs=0.01)
+                assert returned.entry.started_at == pytest.approx(
+                    (await standin.schedule_start) + 0.3, abs=0.01
+                )
                 assert reweighted.entry.weight != 1.0
                 watch.client.close()
             # an unknown version gets the whole list, the current one an empty answer
@@ -510,7 +512,7 @@
         assert metrics["failed"].value == pytest.approx(1 / metrics["failed"].count)
         assert metrics["latency.max"].value < TIMEOUT_S
         parsed = [read_command(parts) for parts in commands]  # raises if a router would not accept one
-        assert len({c.request for c in parsed}) == len(parsed)
+        assert len({c.request_id for c in parsed}) == len(parsed)
         assert {c.info["c"] for c in parsed if c.write} <= {"book", "lock"}
         assert {c.info["c"] for c in parsed if not c.write} == {"read"}
 
