--- a/fleetlab/capacity.py
+++ b/fleetlab/capacity.py
@@ -39,7 +39,7 @@
 SIZE_NAMES = ("today", "full", "users")
 NOT_MEASURED = "not measured"
 DAY_S = 86400.0
-EVENT_KINDS = ("list", "change", "peer", "timer", "call", "tell")  # those that count as control
+EVENT_KINDS = ("list", "change", "peer", "timer", "call", "tell")  # the kinds whose cost is control
 MetricCandidates = Sequence[tuple[str, str]]
 
 
@@ -52,7 +52,7 @@
     rate: float
 
     def axes(self) -> dict[str, float]:
-        """Return the size by the names of axes in `slopes`."""
+        """Return the size as coordinates, by the names of axes in `slopes`."""
         rates = dict.fromkeys(RATE_SETTINGS.values(), self.rate)
         return {"routers": self.routers, "servers": self.servers, **rates}
 
@@ -68,7 +68,7 @@
 
 @dataclass(frozen=True)
 class Comparison:
-    """A quantity that is compared between an earlier decision module and the present one."""
+    """A quantity that the page compares between an earlier decision module and the present one."""
 
     label: str
     role: str
@@ -80,7 +80,7 @@
     datagram_rate: str = ""  # metric of the datagrams whose IP and UDP headers are added
 
     def per_play(self, point: Point) -> list[float]:
-        """Return the value in each play that has all metrics."""
+        """Return the quantity in each play that has all of its metrics."""
         role_metrics = point.roles.get(self.role, {})
         names = [m for m in (self.metric, self.minus_metric, self.rate_metric, self.datagram_rate) if m]
         if not all(m in role_metrics for m in names):
@@ -157,10 +157,10 @@
 
 def read_fleet_spec(path: Path) -> FleetSpec:
     """Read sizes and limits. Raises msgspec.ValidationError, or ValueError if a size is missing."""
-    spec = msgspec.convert(tomllib.loads(path.read_text()), FleetSpec)
-    if missing := [s for s in SIZE_NAMES if s not in spec.sizes]:
+    fleet_spec = msgspec.convert(tomllib.loads(path.read_text()), FleetSpec)
+    if missing := [s for s in SIZE_NAMES if s not in fleet_spec.sizes]:
         raise ValueError(f"{path}: no size {missing[0]!r}")
-    return spec
+    return fleet_spec
 
 
 @dataclass
@@ -207,7 +207,7 @@
     return f"{value:,.0f}" if abs(value) >= 1000 else f"{value:.3g}"
 
 
-def _table_cell(fit: Fit, value: Value, scale: float = 1.0) -> TableCell:
+def _measured_cell(fit: Fit, value: Value, scale: float = 1.0) -> TableCell:
     marks = ["measured"] if value.measured else []
     if value.extrapolation > 1:
         marks.append(f"×{fmt(value.extrapolation)} beyond")
@@ -222,11 +222,11 @@
 
 
 def measured(*candidates: tuple[str, str], steady: bool = True, scale: float = 1.0) -> CellFunction:
-    """Return a cell function for the first of these roles and metrics that has a fit for the size."""
+    """Return a cell function that takes the first of these (role, metric) pairs with a fit for the size."""
 
     def cell(fits: Sequence[Fit], size: Size) -> TableCell | None:
         found = choose_fit(fits, candidates, size.axes(), steady)
-        return None if found is None else _table_cell(*found, scale)
+        return None if found is None else _measured_cell(*found, scale)
 
     return cell
 
@@ -261,13 +261,13 @@
     marks = sorted({m for c in cells for m in c.marks if m != "measured"})
     if all("measured" in c.marks for c in cells):
         marks.insert(0, "measured")
-    known = (
+    totals = (
         math.fsum(c.value for c in cells),
         math.fsum(c.low for c in cells),
         math.fsum(c.high for c in cells),
     )
     return TableCell(
-        *known,
+        *totals,
         marks,
         [f for c in cells for f in c.sources],
         formula,
@@ -351,14 +351,14 @@
     return part * (size.routers - 1) / (INTERVAL_FACTOR * aim) * message
 
 
-def tables(spec: FleetSpec) -> dict[str, list[Row]]:
+def tables(fleet_spec: FleetSpec) -> dict[str, list[Row]]:
     """Return the rows of each role's table."""
-    limits, deploy = spec.limits, spec.deploy
+    limits, deploy = fleet_spec.limits, fleet_spec.deploy
     aim = float(deploy["shortest_aim"])
     usable_sockets = int(deploy["sockets"]) - RESERVED_DESCRIPTORS
     watch = f"watch of {fmt(WATCH_WAIT_S)} s by each router at discovery"
-    tellers = f"hot keys told by {MAX_SENDERS} tellers, within {fmt(MAX_BYTES_PER_S)} bytes a second"
-    ailing = "ailing servers, told by routers to which it is news"
+    hot_keys = f"hot keys told by {MAX_SENDERS} tellers, within {fmt(MAX_BYTES_PER_S)} bytes a second"
+    unhealthy = "ailing servers, told by routers to which it is news"
     deltas = "list deltas; `Ring.apply_changes` takes in what moved"
     missing = "missing"
     peers_rate = ("hollow", "rate.peer"), ("module", "rate.peer"), ("real", "rate.peer")
@@ -395,18 +395,18 @@
             deltas,
             measured(("hollow", "rate.change"), ("module", "rate.change")),
         ),
-        Row("messages", "datagrams from peers, a second", f"{tellers}; {ailing}", measured(*peers_rate)),
+        Row("messages", "datagrams from peers, a second", f"{hot_keys}; {unhealthy}", measured(*peers_rate)),
         Row("messages", "purges heard, a second", missing, not_measured, limits["purges_rate"]),
         Row(
             "messages",
             "datagrams from peers while a server ails, a second",
-            ailing,
+            unhealthy,
             measured(("module", "storm.rate.peer"), ("hollow", "storm.rate.peer"), steady=False),
         ),
         Row(
             "bytes",
             "control, a second: peers and discovery, in and out",
-            f"{watch}; {deltas}; {tellers}",
+            f"{watch}; {deltas}; {hot_keys}",
             sum_of(
                 "from and to peers and discovery",
                 [
@@ -420,7 +420,7 @@
         Row(
             "bytes",
             "control at a real router, a second",
-            f"{watch}; {deltas}; {tellers}",
+            f"{watch}; {deltas}; {hot_keys}",
             sum_of(
                 "from and to peers (a mean router's) and discovery",
                 [
@@ -434,14 +434,14 @@
         Row(
             "bytes",
             "from peers, module alone, a second",
-            tellers,
+            hot_keys,
             measured(("module", "bytes.in.peers")),
             limit_bytes,
         ),
         Row(
             "bytes",
             "from peers, at most, a second",
-            tellers,
+            hot_keys,
             formula(
                 f"(routers − 1) / ({INTERVAL_FACTOR:g} × aim of {aim:g} s) × "
                 f"({UDP_OVERHEAD_BYTES} + message) × the least of 1, "
@@ -454,7 +454,7 @@
         Row(
             "bytes",
             "from peers while all routers find a server ailing at once and none hears another, a second",
-            ailing,
+            unhealthy,
             formula(
                 f"(routers − 1) / ({INTERVAL_FACTOR:g} × aim of {aim:g} s) × "
                 f"({UDP_OVERHEAD_BYTES} + {DIGEST_BYTES + HEADER.size} + {SERVER_ID.size}) "
@@ -471,35 +471,35 @@
         Row(
             "bytes",
             "from peers while a server ails, a second",
-            ailing,
+            unhealthy,
             measured(("module", "storm.bytes.in.peers"), ("hollow", "storm.bytes.in.peers"), steady=False),
             limit_bytes,
         ),
         Row(
             "processor",
             "control, share of a core, with sockets",
-            f"{watch}; {deltas}; {tellers}",
+            f"{watch}; {deltas}; {hot_keys}",
             measured(("full", "cpu.control"), ("hollow", "cpu.control")),
             limits["control_share"],
         ),
         Row(
             "processor",
             "control as the module alone has it, share of a core",
-            f"{deltas}; {tellers}; timers",
+            f"{deltas}; {hot_keys}; timers",
             measured(("module", "cpu.control")),
             limits["control_share"],
         ),
         Row(
             "processor",
             "control in the worst second of a zone's loss, module alone, share of a core",
-            ailing,
+            unhealthy,
             measured(("module", "storm.cpu.control"), steady=False),
             limits["control_share"],
         ),
         Row(
             "processor",
             "control, a sum over kinds, module alone, share of a core",
-            f"{deltas}; {tellers}; timers",
+            f"{deltas}; {hot_keys}; timers",
             control_share,
             limits["control_share"],
         ),
@@ -549,7 +549,8 @@
             "to servers, one each",
             "`Pool` in `__main__.serve`; past its limit an idle connection makes way",
             formula(
-                f"servers; limit ({deploy['sockets']} − {RESERVED_DESCRIPTORS}) × 3 // 8 = {usable_sockets * 3 // 8}",
+                f"servers; limit ({deploy['sockets']} − {RESERVED_DESCRIPTORS}) × 3 // 8 = "
+                f"{usable_sockets * 3 // 8}",
                 lambda s: s.servers,
             ),
             float(usable_sockets * 3 // 8),
@@ -744,7 +745,8 @@
             "at most",
             "`Pool` in `__main__.serve`",
             formula(
-                f"routers × ({deploy['sockets']} − {RESERVED_DESCRIPTORS}) // 8 = routers × {usable_sockets // 8}",
+                f"routers × ({deploy['sockets']} − {RESERVED_DESCRIPTORS}) // 8 = "
+                f"routers × {usable_sockets // 8}",
                 lambda s: s.routers * (usable_sockets // 8),
             ),
         ),
@@ -829,29 +831,29 @@
 class Page:
     """The page's tables and texts, computed from measured points and their fits."""
 
-    def __init__(self, points: Sequence[Point], fits: Sequence[Fit], spec: FleetSpec) -> None:
-        self.points, self.fits, self.spec = points, fits, spec
-        self.sizes = [spec.sizes[s] for s in SIZE_NAMES]
+    def __init__(self, points: Sequence[Point], fits: Sequence[Fit], fleet_spec: FleetSpec) -> None:
+        self.points, self.fits, self.fleet_spec = points, fits, fleet_spec
+        self.sizes = [fleet_spec.sizes[s] for s in SIZE_NAMES]
         names = sorted({p.experiment for p in points})
         self.run_refs = {name: f"R{i}" for i, name in enumerate(names, 1)}
         self.table_rows = {
-            role: [(row, [self._table_cell(row, size) for size in self.sizes]) for row in rows]
-            for role, rows in tables(spec).items()
+            role: [(row, [self._row_cell(row, size) for size in self.sizes]) for row in rows]
+            for role, rows in tables(fleet_spec).items()
         }
 
-    def _table_cell(self, row: Row, size: Size) -> TableCell | None:
+    def _row_cell(self, row: Row, size: Size) -> TableCell | None:
         unknown = row.users_size_only and size is not self.sizes[-1]
         return None if unknown else row.cell(self.fits, size)
 
     def runs_of(self, cells: Iterable[TableCell | None]) -> str:
-        """Return references to the experiments behind some cells."""
+        """Return references to the experiments from which cells were computed."""
         names = {n for c in cells if c is not None for f in c.sources for n in f.experiment.split("+")}
         return ", ".join(sorted((self.run_refs.get(n, n) for n in names), key=lambda r: (len(r), r)))
 
     def table(self, role: str) -> str:
         """Return a role's table."""
         labels = " | ".join(s.label for s in self.sizes)
-        out: list[str] = [
+        lines: list[str] = [
             f"| | | {labels} | limit | ratio | slope or formula | runs | mechanism |",
             "| --- " * 10 + "|",
         ]
@@ -866,11 +868,11 @@
             users_cell = cells[-1]
             ratio = fmt(users_cell.value / row.limit) if users_cell is not None and row.limit else ""
             ratio = ratio or (NOT_MEASURED if row.limit else "")
-            out.append(
+            lines.append(
                 f"| {row.kind} | {row.label} | {texts} | {limit} | {ratio} | {slope_text(cells)} | "
                 f"{self.runs_of(cells)} | {row.mechanism} |"
             )
-        return "\n".join(out)
+        return "\n".join(lines)
 
     def rows_by_ratio(self) -> list[tuple[float, str, Row, list[TableCell | None]]]:
         """Return all rows with a limit and a figure at the users' size, the highest ratio first."""
@@ -884,7 +886,7 @@
 
     def exceeded(self) -> str:
         """Return the list of rows that exceed their limit."""
-        out: list[str] = []
+        lines: list[str] = []
         for ratio, role, row, cells in self.rows_by_ratio():
             if ratio > 1 and row.limit:
                 others = ", ".join(
@@ -898,14 +900,14 @@
                 runs = (
                     "a formula" if users_cell is not None and not users_cell.sources else self.runs_of(cells)
                 )
-                out.append(
-                    f"{len(out) + 1}. **{fmt(ratio)}** {role}: {row.kind}: {row.label}: {text} against "
+                lines.append(
+                    f"{len(lines) + 1}. **{fmt(ratio)}** {role}: {row.kind}: {row.label}: {text} against "
                     f"{fmt(row.limit)}{whose}{f' ({others})' if others else ''}; {runs}; {row.mechanism}"
                 )
-        return "\n".join(out) or "None of those with a figure."
+        return "\n".join(lines) or "None of those with a figure."
 
     def may_exceed(self) -> str:
-        """Return the list of rows whose limit lies within the figure's range."""
+        """Return the list of rows within their limit whose range extends beyond it."""
         entries = [
             f"- {role}: {row.kind}: {row.label}: {cells[-1].text()} against {fmt(row.limit)}"
             for ratio, role, row, cells in self.rows_by_ratio()
@@ -914,7 +916,7 @@
         return "\n".join(entries) or "- none"
 
     def without_figure(self) -> str:
-        """Return the list of limits without a figure."""
+        """Return the list of rows that have a limit but no figure."""
         entries = [
             f"- {role}: {row.kind}: {row.label}: limit {fmt(row.limit)}"
             + ("; mechanism missing" if row.mechanism == "missing" else "")
@@ -940,7 +942,7 @@
         if not pairs:
             return f"{NOT_MEASURED.capitalize()}."
         columns = ("", "routers / servers", "before", "after", "limit", "ratio before", "ratio after")
-        out = ["| " + " | ".join([*columns, "before / after", "runs"]) + " |", "| --- " * 9 + "|"]
+        lines = ["| " + " | ".join([*columns, "before / after", "runs"]) + " |", "| --- " * 9 + "|"]
         for comparison in COMPARISONS:
             for (_, routers, servers), found in pairs:
                 before, after = (
@@ -949,7 +951,7 @@
                 )
                 if not before or not after:
                     continue
-                limit = self.spec.limits[comparison.limit_name] if comparison.limit_name else None
+                limit = self.fleet_spec.limits[comparison.limit_name] if comparison.limit_name else None
                 means = [math.fsum(values) / len(values) for values in (before, after)]
                 texts = [_format_mean_and_range(values) for values in (before, after)]
                 ratios = [fmt(mean / limit) if limit else "" for mean in means]
@@ -967,8 +969,8 @@
                     improvement,
                     refs,
                 ]
-                out.append("| " + " | ".join(cells) + " |")
-        return "\n".join(out)
+                lines.append("| " + " | ".join(cells) + " |")
+        return "\n".join(lines)
 
     def figure_text(self, *candidates: tuple[str, str], unit: str, steady: bool = True) -> str:
         """Return a figure at the users' size with its unit and runs."""
@@ -984,9 +986,9 @@
         return f"{fmt(factor)} × {cell.text()} [{ref}] = {fmt(factor * cell.value)} {unit}"
 
     def fault_results(self, kinds: Iterable[str]) -> str:
-        """Return the list of what was measured in experiments with faults of these kinds."""
+        """Return a list of the results of experiments with faults of these kinds."""
         shown = ("served", "late", "failed", "calls.waiting", "calls.failed", "cold.window")
-        out = []
+        lines = []
         for point in self.points:
             if set(kinds) & set(point.faults()) and not point.experiment.endswith(BEFORE_SUFFIX):
                 entries = [
@@ -999,15 +1001,15 @@
                 fault_kinds = ", ".join(sorted(set(point.faults())))
                 few = "†" if sum(not p.broken_off for p in point.plays) < 3 else ""
                 results = "; ".join(entries) or NOT_MEASURED
-                out.append(
+                lines.append(
                     f"- played ({self.run_refs[point.experiment]}{few}): {fault_kinds}; {location}: {results}"
                 )
-        return "\n".join(out) or f"- played: {NOT_MEASURED}"
+        return "\n".join(lines) or f"- played: {NOT_MEASURED}"
 
     def placeholder_values(self) -> dict[str, str]:
         """Return the values for the template's text, computed for the users' size."""
-        size, limits, places = self.sizes[-1], self.spec.limits, self.spec.places
-        call_s = float(self.spec.deploy["call_ms"]) / 1000
+        size, limits, places = self.sizes[-1], self.fleet_spec.limits, self.fleet_spec.places
+        call_s = float(self.fleet_spec.deploy["call_ms"]) / 1000
         purges, outage_s = limits["purges_rate"], limits["region_cut"]
         changes = limits["changes_day"]
         entry, full_list = entry_bytes(), list_bytes(size.servers)
@@ -1095,7 +1097,7 @@
 
     def runs(self) -> str:
         """Return the table of experiments and result files, and the list of plays that were left out."""
-        out = ["| | experiment | points | seeds | commits | machines | files |", "| --- " * 7 + "|"]
+        lines = ["| | experiment | points | seeds | commits | machines | files |", "| --- " * 7 + "|"]
         for name, ref in self.run_refs.items():
             points = [p for p in self.points if p.experiment == name]
             plays = [q for p in points for q in p.plays]
@@ -1110,25 +1112,25 @@
                 "; ".join(machines),
                 ", ".join(sorted({q.file for q in plays})),
             ]
-            out.append(f"| {ref} | " + " | ".join(columns) + " |")
+            lines.append(f"| {ref} | " + " | ".join(columns) + " |")
         notes = [
             f"- {q.file}: {'; '.join([*q.notes, *(['broken off'] if not q.notes else [])])}"
             for p in self.points
             for q in p.plays
             if q.broken_off
         ]
-        out += ["", "Left out:", "", *notes] if notes else []
-        return "\n".join(out) if self.run_refs else "None: nothing has been measured."
+        lines += ["", "Left out:", "", *notes] if notes else []
+        return "\n".join(lines) if self.run_refs else "None: nothing has been measured."
 
     def sizes_text(self) -> str:
         """Return the table of fleet sizes."""
-        places = self.spec.places
-        out = ["| size | routers | servers | requests/s at a router | in all |", "| --- " * 5 + "|"]
+        places = self.fleet_spec.places
+        lines = ["| size | routers | servers | requests/s at a router | in all |", "| --- " * 5 + "|"]
         for s in self.sizes:
             columns = [s.routers, s.servers, s.rate, s.routers * s.rate]
-            out.append(f"| {s.label} | " + " | ".join(fmt(c) for c in columns) + " |")
+            lines.append(f"| {s.label} | " + " | ".join(fmt(c) for c in columns) + " |")
         location = ", ".join(f"{fmt(v)} {k}" for k, v in places.items())
-        return "\n".join(out) + f"\n\nThe users' routers and servers stand in {location}."
+        return "\n".join(lines) + f"\n\nThe users' routers and servers stand in {location}."
 
     def render(self, decision: str | None) -> str:
         """Return the whole page; `decision` is its hand-written section, inserted verbatim."""
--- a/fleetlab/cli.py
+++ b/fleetlab/cli.py
@@ -191,7 +191,7 @@
 @main.command()
 @FILE
 def check(file: Path) -> None:
-    """Print what FILE would start, and whether it exceeds its limits."""
+    """Print the processes and memory that FILE needs, and whether they exceed its limits."""
     with _exit_codes():
         experiment = read_experiment(file)
         swept = [
@@ -223,7 +223,7 @@
     help="Directory for site files.",
 )
 def sites(file: Path, seed: int, count: int, out: Path) -> None:
-    """Write random variants of the site FILE, one for each seed, in what operators may choose."""
+    """Write random variants of the site FILE, one for each seed, within the choices of operators."""
     with _exit_codes():
         for path in write_variants(file, range(seed, seed + count), out):
             click.echo(str(path))
--- a/fleetlab/deployments.py
+++ b/fleetlab/deployments.py
@@ -1,4 +1,4 @@
-"""Draws random deployments: variants of a site file that differ in what its operators may choose.
+"""Draws random deployments: variants of a site file that differ in its operators' choices.
 
 A router takes classes, limits and addresses from its settings alone, so a fault may show only under settings
 that no given site has. Each seed draws one variant of a base site: how discovery and load reports work, what
@@ -156,7 +156,7 @@
 
 
 def write_variants(base: Path, seeds: range, directory: Path) -> list[Path]:
-    """Write a variant of the site for each seed, and copy the files beside it; returns the paths."""
+    """Write a variant of the site for each seed, and copy the files beside it; return the paths."""
     site = read_site(base)
     directory.mkdir(parents=True, exist_ok=True)
     for name in COMPANION_FILES:
--- a/fleetlab/hollow.py
+++ b/fleetlab/hollow.py
@@ -48,23 +48,26 @@
 
 
 class Timeline(Protocol):
-    """The state of a server over time, in seconds from the start of the schedule."""
+    """The state of a server over time, in seconds from the start of the schedule.
+
+    `fleetlab.standins.schedule.ServerTimeline` has this interface.
+    """
 
     def is_up(self, at: float) -> bool:
         """Return whether the server runs."""
         ...
 
     def is_hanging(self, at: float) -> bool:
-        """Return whether it runs but does not respond."""
+        """Return whether the server runs but does not respond."""
         ...
 
     def start_time(self, at: float) -> float | None:
-        """Return when it started, or None if that was before the schedule."""
+        """Return when the server last started, or None if that was before the schedule."""
         ...
 
 
 class Outage(Protocol):
-    """A time in which a router is down, in seconds from the start of the schedule."""
+    """A period during which a router is down, in seconds from the start of the schedule."""
 
     @property
     def router(self) -> int:
@@ -83,7 +86,10 @@
 
 
 class Schedule:
-    """The faults of servers, routers and the links between zones."""
+    """The faults of servers, routers and the links between zones.
+
+    `partitioned` tells whether two zones cannot reach each other at a time.
+    """
 
     def __init__(
         self,
@@ -105,14 +111,14 @@
         return "hang" if timeline is not None and timeline.is_hanging(at) else "up"
 
     def warm_up_share(self, server: int, at: float, cold: float, ramp: float) -> float:
-        """Return the share of its usual hits that a server has at its age: from `cold` to 1 over `ramp`."""
+        """Return a server's share of its usual hits: from `cold` at its start to 1 after `ramp` seconds."""
         timeline = self.timelines.get(server)
         started = timeline.start_time(at) if timeline is not None else None
         return 1.0 if started is None else min(1.0, cold + (1 - cold) * (at - started) / max(ramp, 1e-3))
 
 
 def shared_schedule(plan: Plan) -> Schedule:
-    """Return the schedule that all parts derive from the plan."""
+    """Return the schedule that all worker processes derive from the plan."""
     shared: Any = importlib.import_module("fleetlab.standins.schedule")
     cuts = shared.partitions(plan)
     return Schedule(
@@ -123,7 +129,7 @@
 
 
 class InstanceMeter:
-    """The resources that one instance used over the whole schedule."""
+    """The resources that one hollow router used over the whole schedule."""
 
     def __init__(self) -> None:
         self.cpu_ns: Counter[str] = Counter()  # by kind of event
@@ -167,7 +173,7 @@
             super().post(event)
 
     def kill(self) -> int:
-        """Stop at once; returns the number of requests left without an answer."""
+        """Abandon all attempts at once, and return the number of requests left without an answer."""
         self.killed = True
         for tracked in self.requests.values():
             for attempt in tracked.attempts.values():
@@ -182,7 +188,7 @@
     timer: asyncio.TimerHandle | None = None
 
     def unsent(self) -> bool:
-        """Return False: every attempt counts as sent."""
+        """Return False: the router has to treat every attempt as sent."""
         return False
 
     def abandon(self) -> None:
@@ -193,14 +199,13 @@
 
 
 class ModelPool(Pool):
-    """Replaces the connections to servers: attempts end as drawn, after a drawn time."""
+    """A model in place of the connections to servers: outcomes and response times are random."""
 
     def __init__(self, instance: HollowRouter, dial_timeout: float) -> None:
         super().__init__(OriginConnection, 0, dial_timeout, 0.0)  # never makes a connection
         self.instance = instance
-        self.dropped_connections: set[str] = (
-            set()
-        )  # addresses of lost servers whose kept connection was closed
+        # addresses of lost servers whose kept connection was closed
+        self.dropped_connections: set[str] = set()
 
     def start(
         self,
@@ -210,7 +215,7 @@
         on_done: Callable[[api.Status, bytes], None],
         check_client: Callable[[], object] = lambda: None,
     ) -> Exchange:
-        """Start an attempt, and schedule its outcome by the state of the server."""
+        """Start an attempt, whose outcome depends on the state of the server."""
         exchange = ModelExchange(command, time_left, on_done, check_client)
         state = self.instance.server_state(address)
         if state == "up":
@@ -219,17 +224,16 @@
             latency = typical * self.instance.random.uniform(0.5, 1.5)
             exchange.timer = asyncio.get_running_loop().call_later(latency, self._answer, address, exchange)
         elif state == "lost" and address in self.dropped_connections:
+            # the kept connection was closed, and no new one can be established
             loop = asyncio.get_running_loop()
-            exchange.timer = loop.call_later(
-                self.dial_timeout, exchange.finish, api.Status.CONNECT_FAILED
-            )  # the kept connection was closed, and no new one can be established
+            exchange.timer = loop.call_later(self.dial_timeout, exchange.finish, api.Status.CONNECT_FAILED)
         elif state == "lost":
             self.dropped_connections.add(address)
         return exchange
 
     def _answer(self, address: str, exchange: ModelExchange) -> None:
         if self.instance.server_state(address) != "up":
-            return  # the host's own timer ends it
+            return  # the attempt ends when the host's timer for it fires
         hit = exchange.command.write or self.instance.draw_hit(address)
         exchange.finish(*((api.Status.OK, VALUE) if hit else (api.Status.MISS, b"")))
 
@@ -238,7 +242,7 @@
 
 
 class MeteredClient(HttpClient):
-    """Counts the calls to discovery and their bytes, by address: each instance calls one of its own."""
+    """Counts calls to discovery and their bytes, by address, as each hollow router calls its own address."""
 
     meters: dict[str, InstanceMeter] = {}
     received_at: dict[str, int] = {}  # when the latest bytes arrived, in the thread's processor time (ns)
@@ -260,7 +264,7 @@
 
 
 class HollowProcess:
-    """What the instances of one process share."""
+    """The state that the hollow routers of one process share."""
 
     def __init__(self, plan: Plan, schedule: Schedule) -> None:
         self.plan = plan
@@ -272,7 +276,7 @@
             accumulate(zipf_weights(experiment.requests.keys, experiment.requests.zipf))
         )
         addresses = plan.addresses
-        self.server_numbers: dict[str, int] = {}  # by address; those of replacements are added when needed
+        self.server_numbers: dict[str, int] = {}  # by address; those of replacements are added on first use
         self.peers = {parse_address(addresses.peer_advertised(n)) for n in range(plan.router_count())}
         config = router_config(plan, 0)
         self.index, _, self.members = read_list(config["known"])
@@ -299,7 +303,7 @@
 
 
 class HollowRouter:
-    """One hollow router. Its meter continues when it is restarted after a fault."""
+    """One hollow router. Its meter goes on counting over the router's restarts."""
 
     def __init__(self, process: HollowProcess, number: int, rate: float) -> None:
         self.process = process
@@ -332,9 +336,8 @@
         peers = PeerSocket(
             addresses.peer_listen(self.number), [], addresses.peers_all(), self._on_peer_message
         )
-        peers.peers = (
-            process.peers
-        )  # one set for all instances: a set of thousands for each would fill the memory
+        # one set for all instances: a set of thousands for each would fill the memory
+        peers.peers = process.peers
         self.peers, host.broadcast = peers, self._broadcast
         await peers.start()
 
@@ -361,7 +364,7 @@
         return self.process.schedule.server_state(server, self.zone, server % zones, self.process.elapsed())
 
     def draw_hit(self, address: str) -> bool:
-        """Draw whether a read hits, by the share of hits and the server's age; always at the origin."""
+        """Draw whether a read hits, by the share of hits and the server's age; the origin always hits."""
         server, experiment = self.process.server_number(address), self.process.plan.experiment
         if server is None:
             return True
@@ -451,9 +454,10 @@
         metrics[f"cpu.us.{kind}"] = Metric(cpu_ns / count / 1000, "us", min(each), max(each), count)
         metrics[f"rate.{kind}"] = mean_and_range([m.events[kind] / seconds for m in meters], "1/s")
     request_ns = metrics["cpu.us.request"].value * 1000 if "cpu.us.request" in metrics else 0.0
+    # the cost of each `tell` includes that of the request during which the message was sent
     control_ns = [
         sum(m.cpu_ns[k] for k in (*CONTROL_KINDS, "list")) - m.events["tell"] * request_ns for m in meters
-    ]  # each `tell` includes the handling of a request
+    ]
     metrics["cpu.control"] = mean_and_range([max(0.0, c) / 1e9 / seconds for c in control_ns], "core")
     metrics["cpu.share"] = mean_and_range([m.cpu_ns.total() / 1e9 / seconds for m in meters], "core")
     for name in ("bytes.out.peers", "bytes.in.discovery", "bytes.out.discovery"):
@@ -504,16 +508,16 @@
         metrics["memory.mb"] = Metric(memory / len(instances), "MB", count=len(instances))
         sizes = [state_size(i.host.router) / 2**20 for i in group[:MAX_SIZED_INSTANCES] if i.host is not None]
         metrics["state.mb"] = mean_and_range(sizes, "MB")
-        planned = seconds * sum(i.rate for i in group)
-        if planned:
-            metrics["asked"] = Metric(sum(i.generated for i in group) / planned, "share")
-        metrics |= {f"start.{what}": Metric(value, "s") for what, value in start.items()}
-    own = cpu_seconds - sum(i.meter.cpu_ns.total() for i in instances) / 1e9
+        planned_requests = seconds * sum(i.rate for i in group)
+        if planned_requests:
+            metrics["asked"] = Metric(sum(i.generated for i in group) / planned_requests, "share")
+        metrics |= {f"start.{clock}": Metric(value, "s") for clock, value in start.items()}
+    process_cpu_s = cpu_seconds - sum(i.meter.cpu_ns.total() for i in instances) / 1e9
     descriptors = float(psutil.Process().num_fds())
     roles["lab"] = Role(
         1,
         {
-            "cpu.share": Metric(max(0.0, own) / seconds, "core"),
+            "cpu.share": Metric(max(0.0, process_cpu_s) / seconds, "core"),
             "memory.mb": Metric(memory, "MB"),
             "descriptors": Metric(descriptors, "descriptors"),
             "lag": mean_and_range(lags, "s"),
@@ -534,11 +538,10 @@
     """Return the requests per second at each hollow router of this process, full-rate routers first."""
     fleet, requests = plan.experiment.fleet, plan.experiment.requests
     processes = min(fleet.processes, fleet.hollow) or 1
-    place = (
-        (plan.hollow[0] - fleet.real) % processes if plan.hollow else 0
-    )  # as routers are dealt round-robin
-    full = len(range(place, fleet.full, processes))
-    return [requests.full_rate if i < full else requests.hollow_rate for i in range(len(plan.hollow))]
+    # routers are dealt to the processes round-robin
+    process_index = (plan.hollow[0] - fleet.real) % processes if plan.hollow else 0
+    full_count = len(range(process_index, fleet.full, processes))
+    return [requests.full_rate if i < full_count else requests.hollow_rate for i in range(len(plan.hollow))]
 
 
 async def play_outages(instance: HollowRouter, outages: list[Outage]) -> None:
@@ -586,7 +589,7 @@
     try:
         for instance in instances:
             await instance.start()
-            await asyncio.sleep(0)  # let those already started make calls and receive messages
+            await asyncio.sleep(0)  # lets earlier ones make calls and receive messages
         start = {"wall": time.monotonic() - start["wall"], "cpu": time.process_time() - start["cpu"]}
         log.info("hollow routers started", count=len(instances), **start)
         # Objects that live for the whole play are exempt from garbage collection: with hundreds of instances
@@ -600,7 +603,7 @@
             if schedule is None:
                 process.schedule = shared_schedule(with_schedule_start(plan, process.schedule_start))
             await asyncio.wait((end_wait,), timeout=max(0.0, -process.elapsed()))
-        for instance in instances:  # new meters, as the start phase does not count
+        for instance in instances:  # new meters, as metrics exclude the start phase
             new_meter = InstanceMeter()
             instance.meter = MeteredClient.meters[instance.address] = new_meter
             if instance.host is not None and isinstance(instance.host.router, MeteredRouter):
@@ -631,7 +634,7 @@
             task.cancel()
         for instance in instances:
             instance.stop()
-        await asyncio.sleep(0)  # let sockets close
+        await asyncio.sleep(0)  # lets sockets close
         gc.unfreeze()
 
 
--- a/fleetlab/measure.py
+++ b/fleetlab/measure.py
@@ -52,15 +52,14 @@
     def __init__(self) -> None:
         self._processes: dict[int, tuple[psutil.Process, float]] = {}  # by pid, with processor seconds so far
         self._last_sample = 0.0
-        self._samples: dict[tuple[str, str, str], InstanceSamples] = defaultdict(
-            InstanceSamples
-        )  # by role, prefix and name
+        # by role, prefix and name
+        self._samples: dict[tuple[str, str, str], InstanceSamples] = defaultdict(InstanceSamples)
         self._series: dict[tuple[str, str], list[float]] = defaultdict(list)  # by role and metric
         self._sample_count = 0
         self._peak_memory: dict[tuple[str, str, str], float] = defaultdict(float)
 
     def sample(self, monitored: Iterable[MonitoredProcess]) -> float:
-        """Sample all processes that still run. Returns their resident memory, in MB."""
+        """Sample all processes that still run, and return their resident memory in MB."""
         now = time.monotonic()
         first = self._sample_count == 0
         count_connections = self._sample_count % CONNECTIONS_INTERVAL_S == 1
@@ -77,7 +76,7 @@
                     len(process.net_connections("tcp")) if each.connections and count_connections else None
                 )
             except (psutil.Error, FileNotFoundError):
-                continue  # it has exited, or is exiting
+                continue  # the process has exited, or is exiting
             used = times.user + times.system
             self._processes[each.pid] = process, used
             total += memory
@@ -110,7 +109,7 @@
         return total
 
     def roles(self) -> dict[str, Role]:
-        """Return the metrics by role: the mean over instances of each one's mean, and the range of these."""
+        """Return the metrics by role: the mean of the instances' means over time, and their range."""
         means: dict[tuple[str, str], list[float]] = defaultdict(list)
         names: dict[str, set[str]] = defaultdict(set)
         for (role, prefix, name), samples in self._samples.items():
--- a/fleetlab/model.py
+++ b/fleetlab/model.py
@@ -71,7 +71,7 @@
     Changes that are measured in this context cost far less than in a process of their own (for these see
     `module_costs`).
     """
-    original_settle = ring.Ring.apply_changes
+    original_apply_changes = ring.Ring.apply_changes
     cached: dict[frozenset[tuple[int, int]], tuple[array[int], list[int], array[float]]] = {}
 
     def apply_changes(self: ring.Ring[Any]) -> None:
@@ -79,7 +79,7 @@
             return
         key = frozenset((owner.name, len(points)) for owner, points in self.nodes_by_owner.items())
         if key not in cached:
-            original_settle(self)
+            original_apply_changes(self)
             cached[key] = self.positions, [owner.name for owner in self.owners], self.ranks
             while len(cached) > max_lists:
                 del cached[next(iter(cached))]
@@ -96,26 +96,26 @@
 class FleetModel:
     """A simulated fleet of routers, and a model of its clients and servers.
 
-    `siblings` is the number of routers in the routers' settings. Where it is larger than `routers`, each
-    simulated router stands for several, and fleet-wide counts are scaled up accordingly. At most `listeners`
-    routers receive peer messages, evenly spaced, as the cost of all receiving grows with the square of the
-    fleet; None means all. With `run_timers`, timers fire and cancels are carried out. `answer_status` decides
-    the outcome of an attempt at a server.
+    `siblings` is the number of routers in the routers' settings. Where it is larger than `router_count`, each
+    simulated router stands for several, and fleet-wide counts are scaled up accordingly. At most
+    `max_listeners` routers receive peer messages, evenly spaced, as the cost of all receiving grows with the
+    square of the fleet's size; None means all. With `run_timers`, timers fire and cancels are carried out. The
+    attribute `answer_status` decides the outcome of an attempt at a server.
     """
 
     def __init__(
         self,
         settings: api.Settings,
-        routers: int,
+        router_count: int,
         server_list: list[api.ServerEntry],
         seed: int = 1,
         *,
         siblings: int | None = None,
-        listeners: int | None = None,
+        max_listeners: int | None = None,
         run_timers: bool = False,
     ) -> None:
-        self.settings = replace(settings, siblings=siblings or routers)
-        self.routers_per_instance = self.settings.siblings / routers
+        self.settings = replace(settings, siblings=siblings or router_count)
+        self.routers_per_instance = self.settings.siblings / router_count
         self.run_timers = run_timers
         self.now = 100.0
         self.random = random.Random(seed)
@@ -123,12 +123,13 @@
         self.finished: Counter[str] = Counter()  # requests, by how they ended
         self.retry_afters: list[float] = []  # seconds after which refused clients are to retry
         self.deliver_messages = True  # between routers
-        listener_count = min(routers, routers if listeners is None else listeners)
+        listener_count = min(router_count, router_count if max_listeners is None else max_listeners)
         self.listeners = (
-            [i * routers // listener_count for i in range(listener_count)] if listener_count else []
+            [i * router_count // listener_count for i in range(listener_count)] if listener_count else []
         )
         self.answer_status: Callable[[str], api.Status] = lambda server: api.Status.OK
-        # each router's share of the requests; None: every eighth gets `busy_factor` times as many
+        # each router's share of the requests; None: every eighth router gets `busy_factor` times the share of
+        # the others
         self.router_weights: list[float] | None = None
         self.write_share = 0.0  # of requests
         self.latency = LATENCY_S
@@ -149,7 +150,7 @@
         self.bytes_in: Counter[tuple[int, int]] = Counter()
         self.messages: list[bytes] = []  # contents of all messages sent, in order
         self.routers: list[Router] = []
-        for number in range(routers):
+        for number in range(router_count):
             self.routers.append(self.make_router(number))
             self.dispatch(number, api.ServerList(api.ListKind.SAVED, tuple(server_list)))
 
@@ -252,16 +253,16 @@
         outcome = api.Outcome(action.request_id, attempt, status, status is api.Status.OK, delay)
         self.schedule(delay, number, outcome)
 
-    def finish(self, request: str, how: str) -> None:
+    def finish(self, request_id: str, result: str) -> None:
         """Count the end of a request, `served` or `failed`, unless it has ended already."""
-        if self.request_keys.pop(request, None) is not None:
-            self.request_deadlines.pop(request, None)
-            self.finished[how] += 1
+        if self.request_keys.pop(request_id, None) is not None:
+            self.request_deadlines.pop(request_id, None)
+            self.finished[result] += 1
 
     def run(self, seconds: float, rate: float, weights: list[float], busy_factor: float = 3.0) -> None:
         """Simulate some seconds, with `rate` requests per second in total for keys of these weights.
 
-        Unless `router_weights` is set, every eighth router gets `busy_factor` times as many as the others.
+        Unless `router_weights` is set, every eighth router gets `busy_factor` times the others' share.
         """
         until = self.now + seconds
         router_weights = self.router_weights or [
@@ -283,34 +284,36 @@
                 number = self.random.choices(numbers, cum_weights=cumulative_routers)[0]
                 key = self.random.choices(keys, cum_weights=cumulative_keys)[0]
                 write = self.write_share > 0 and self.random.random() < self.write_share
-                name = f"r{self.sequence}"
+                new_id = f"r{self.sequence}"
                 if number not in self.lost_routers:
-                    self.request_keys[name] = key
-                    self.request_deadlines[name] = self.now + REQUEST_TIMEOUT_S
-                    kind = "book" if write else "read"
-                    self.dispatch(number, api.Request(name, kind, REQUEST_TIMEOUT_S, key, write=write))
+                    self.request_keys[new_id] = key
+                    self.request_deadlines[new_id] = self.now + REQUEST_TIMEOUT_S
+                    class_name = "book" if write else "read"
+                    self.dispatch(
+                        number, api.Request(new_id, class_name, REQUEST_TIMEOUT_S, key, write=write)
+                    )
                 arrival = self.now + self.random.expovariate(rate)
             else:
                 break
         self.now = until
 
     def max_sent_within(self, server: str, window: float) -> int:
-        """Return the most attempts that all routers made at a server in any window of so many seconds."""
+        """Return the most attempts that all routers made at a server in any window of `window` seconds."""
         times = [t for t, _ in self.sent[server]]
         return max((bisect_left(times, t + window) - i for i, t in enumerate(times)), default=0)
 
     def fleet_traffic(self, seconds: Collection[int]) -> list[tuple[float, float]]:
         """Return the peer messages and bytes that the whole fleet sent in each of some seconds of the clock.
 
-        Each router of the fleet receives as much, but for what it sent itself.
+        Each router of the fleet receives all of it except its own messages.
         """
-        messages, size = Counter[int](), Counter[int]()
+        messages, sizes = Counter[int](), Counter[int]()
         for (_, second), count in self.messages_out.items():
             messages[second] += count
         for (_, second), count in self.bytes_out.items():
-            size[second] += count
+            sizes[second] += count
         return [
-            (messages[s] * self.routers_per_instance, size[s] * self.routers_per_instance) for s in seconds
+            (messages[s] * self.routers_per_instance, sizes[s] * self.routers_per_instance) for s in seconds
         ]
 
 
--- a/fleetlab/module_costs.py
+++ b/fleetlab/module_costs.py
@@ -1,4 +1,4 @@
-"""Measures what one instance of the decision module costs at an experiment's size.
+"""Measures the costs of one instance of the decision module at an experiment's size.
 
 It runs in one process on a simulated clock, without sockets. Processor time is taken around `Router.handle`
 alone, of an instance that shares nothing with others. The rate of peer messages in a fleet of that size comes
@@ -37,8 +37,9 @@
 
 
 def next_peer_update(router: Router) -> float:
-    """Return when a router next redistributes demand and sends to peers, at the first request from then."""
-    # earlier versions of the module call them `telling` and `tell_at`, the first ones on the router itself
+    """Return the time from which a router's next request redistributes demand and sends to peers."""
+    # earlier versions of the module name these attributes `telling` and `tell_at`; in the earliest ones
+    # `tell_at` is an attribute of the router itself
     holder: Any = getattr(router, "gossip", None) or getattr(router, "telling", router)
     return float(holder.next_at if hasattr(holder, "next_at") else holder.tell_at)
 
@@ -94,7 +95,7 @@
 
 
 def configure_model(fleet: FleetModel, experiment: Experiment, seed: int) -> list[float]:
-    """Set a model's clients and servers to the experiment's values; returns the weights of the keys."""
+    """Set a model's clients and servers to the experiment's values, and return the weights of the keys."""
     fleet.answer_status = random_answers(experiment, seed)
     fleet.latency = experiment.requests.latency_ms / 1000
     fleet.write_share = experiment.requests.writes
@@ -174,10 +175,10 @@
             replacement,
             replace(replacement, weight=entry.weight * 0.9),
         ):
-            what = "weight" if changed.weight != entry.weight else changed.state.value
+            change_kind = "weight" if changed.weight != entry.weight else changed.state.value
             router.spent.clear()
             router.handle(now, api.ServerList(api.ListKind.DELTA, (changed,)))
-            spent["change." + what] += router.spent["change"]
+            spent["change." + change_kind] += router.spent["change"]
             spent["change"] += router.spent["change"]
     return dict(spent)
 
@@ -261,7 +262,7 @@
         for kind in CONTROL_KINDS
     }
     request_cost = metrics["cpu.us.request"].value
-    cost["tell"] = max(0.0, cost["tell"] - request_cost)  # what it costs beyond a plain request
+    cost["tell"] = max(0.0, cost["tell"] - request_cost)  # beyond the cost of a plain request
     control = sum(rates[kind] * cost[kind] for kind in CONTROL_KINDS) / 1e6
     in_storm, *_ = time_full_load(
         settings, entries, experiment, seed=seed, contents=contents["storm"], rate=peak
--- a/fleetlab/plan.py
+++ b/fleetlab/plan.py
@@ -23,7 +23,7 @@
     """The addresses of all parties, `HOST:PORT` in 127.`net`.0.0/16; routers and servers count from 0."""
 
     net: int
-    port: int  # the first of those in use; each kind of address has its own
+    port: int  # the lowest port in use; each kind of address has a port of its own
 
     def _at(self, block: int, number: int, port: int) -> str:
         return f"127.{self.net}.{block + (number >> 8)}.{number & 255}:{self.port + port}"
@@ -39,7 +39,7 @@
     def peer_advertised(self, router: int) -> str:
         """Return a router's address in its peers' `peers` lists (UDP): a socket of the network stand-in.
 
-        The stand-in relays what is sent there, and sends the router's own messages from there.
+        The stand-in relays datagrams sent there, and sends the router's own messages from there.
         """
         return self._at(64, router + 1, 1)
 
@@ -61,7 +61,7 @@
 
 
 class Plan(msgspec.Struct, frozen=True):
-    """What one worker process plays."""
+    """The part of an experiment that one worker process plays."""
 
     part: Part
     experiment: Experiment
--- a/fleetlab/report.py
+++ b/fleetlab/report.py
@@ -21,19 +21,19 @@
 
 
 def write_report(results: list[Path], out: Path, page: Path | None, lab: Path = LAB_DIR) -> None:
-    """Write `slopes.json`, `measured.json`, `summary.md` and plots to folder `out`, and optionally the page.
+    """Write `slopes.json`, `measured.json`, `summary.md` and plots to `out`, and optionally the page.
 
-    `results` are result files, earlier `measured.json` files, or folders of both. Folder `lab` holds the
-    sizes and limits and, optionally, the page's section on the decision. Raises ValueError for a file of
-    another kind.
+    `results` are result files, earlier `measured.json` files, or directories of both. The directory `lab`
+    holds the sizes and limits and, optionally, the page's section on the decision. Raises ValueError for a
+    file of another kind.
     """
     points = slopes.read_points(results)
     fits = slopes.fit_all(points)
-    spec = capacity.read_fleet_spec(lab / SIZES_FILE)
+    fleet_spec = capacity.read_fleet_spec(lab / SIZES_FILE)
     out.mkdir(parents=True, exist_ok=True)
     (out / "measured.json").write_bytes(_encode_points(points))
     (out / "slopes.json").write_bytes(msgspec.json.format(msgspec.json.encode(fits), indent=1) + b"\n")
-    limits = _metric_limits(spec)
+    limits = _metric_limits(fleet_spec)
     plots = [
         draw_plot(fit, points, limits.get((fit.role, fit.metric)), out) for fit in fits if has_slope(fit)
     ]
@@ -41,7 +41,7 @@
     if page is not None:
         decision = lab / DECISION_FILE
         current_fits = [fit for fit in fits if not fit.experiment.endswith(slopes.BEFORE_SUFFIX)]
-        text = capacity.Page(points, current_fits, spec).render(
+        text = capacity.Page(points, current_fits, fleet_spec).render(
             decision.read_text() if decision.exists() else None
         )
         page.parent.mkdir(parents=True, exist_ok=True)
@@ -53,9 +53,9 @@
     return b'{"points":[\n' + b",\n".join(msgspec.json.encode(p) for p in points) + b"\n]}\n"
 
 
-def _metric_limits(spec: capacity.FleetSpec) -> dict[tuple[str, str], float]:
+def _metric_limits(fleet_spec: capacity.FleetSpec) -> dict[tuple[str, str], float]:
     """Return the users' limits by role and metric."""
-    limits = spec.limits
+    limits = fleet_spec.limits
     found = {}
     for role in ("real", "hollow", "module"):
         found[role, "cpu.control"] = limits["control_share"]
@@ -69,7 +69,7 @@
 
 
 def has_slope(fit: Fit) -> bool:
-    """Whether there is a line to plot: the fit has a term, and the points' values differ."""
+    """Return whether there is a line to plot: the fit has a term, and the points' values differ."""
     seen = {v for _, value, _ in fit.at_points for v in (value.low, value.high)}
     return bool(fit.terms) and len(seen) > 1
 
@@ -117,8 +117,8 @@
 def summary(points: Sequence[Point], fits: Sequence[Fit], plots: Sequence[str]) -> str:
     """Return `summary.md`: tables of the slopes and points, and the plots."""
     fmt = capacity.fmt
-    out = ["# Slopes", "", "† marks points of fewer than three plays.", ""]
-    out += ["| experiment | role | metric | unit | at 0 | slopes | measured range |", "| --- " * 7 + "|"]
+    lines = ["# Slopes", "", "† marks points of fewer than three plays.", ""]
+    lines += ["| experiment | role | metric | unit | at 0 | slopes | measured range |", "| --- " * 7 + "|"]
     for fit in fits:
         terms, ranges = [], []
         for t in fit.terms:
@@ -129,16 +129,16 @@
         terms += [f"{a} varied together with these" for a in fit.collinear_axes]
         columns = [fit.experiment, fit.role, fit.metric, fit.unit, fmt(fit.intercept)]
         columns += ["; ".join(terms) or "one point", "; ".join(ranges) + ("†" if fit.has_few_plays else "")]
-        out.append("| " + " | ".join(columns) + " |")
-    out += ["", "# Points", ""]
-    out += ["| experiment | routers | servers | happens | seeds | notes |", "| --- " * 6 + "|"]
+        lines.append("| " + " | ".join(columns) + " |")
+    lines += ["", "# Points", ""]
+    lines += ["| experiment | routers | servers | happens | seeds | notes |", "| --- " * 6 + "|"]
     for p in points:
         complete = [q for q in p.plays if not q.broken_off]
         seeds = ", ".join(f"{q.seed}{' (broken off)' if q.broken_off else ''}" for q in p.plays)
         notes = "; ".join(f"{q.seed}: {n}" for q in p.plays for n in q.notes)
         few = "†" if len(complete) < MIN_PLAYS else ""
         columns = [p.experiment, fmt(p.axis("routers")), fmt(p.axis("servers")), ", ".join(p.faults())]
-        out.append("| " + " | ".join([*columns, seeds + few, notes]) + " |")
+        lines.append("| " + " | ".join([*columns, seeds + few, notes]) + " |")
     if plots:
-        out += ["", "# Plots", "", *(f"![{name}]({name})" for name in plots)]
-    return "\n".join(out) + "\n"
+        lines += ["", "# Plots", "", *(f"![{name}]({name})" for name in plots)]
+    return "\n".join(lines) + "\n"
--- a/fleetlab/results.py
+++ b/fleetlab/results.py
@@ -1,4 +1,4 @@
-"""The format of result files (JSON): what was played and where, and the measurements of each role."""
+"""The format of result files (JSON): the experiment, the machine, and the measurements of each role."""
 
 from __future__ import annotations
 
@@ -34,8 +34,8 @@
     Metrics by name. They cover the schedule and not the start, unless the name begins with `start.`:
 
     - `cpu.share`, cores used by each instance for all of its work; `cpu.us.KIND`, microseconds per event of a
-      kind, and `rate.KIND`, such events per second at each instance, where KIND is list, change, request,
-      outcome, peer, timer, call or tell; `cpu.control`, cores used for all but request and outcome
+      kind, and `rate.KIND`, events of a kind per second at each instance, where KIND is list, change,
+      request, outcome, peer, timer, call or tell; `cpu.control`, cores used for all but request and outcome
     - `memory.mb`, `state.mb` (of one instance of the decision module), `descriptors`, `connections`
     - `bytes.in.peers`, `bytes.out.peers`, `bytes.in.discovery`, `bytes.out.discovery`, per second at each
       instance
@@ -60,9 +60,8 @@
     command: str
     began: str  # UTC, ISO 8601
     machine: Machine
-    roles: dict[
-        str, Role
-    ] = {}  # real, hollow, full, module, discovery, caches, origin, clients, network, lab
+    # by name: real, hollow, full, module, discovery, caches, origin, clients, network, lab
+    roles: dict[str, Role] = {}
     notes: list[str] = []  # deviations from the experiment file, and warnings
     broken_off: bool = False  # the play failed or was interrupted; the metrics are partial
 
--- a/fleetlab/runner.py
+++ b/fleetlab/runner.py
@@ -39,7 +39,7 @@
 BUSY_SHARE = 0.9  # of the machine's processor time; above it measured times are reported as unreliable
 REPORT_TIMEOUT_S = 20.0  # for the workers' reports, after the schedule
 TERMINATE_TIMEOUT_S = 8.0  # from SIGTERM to SIGKILL; workers take up to five seconds for their report
-MAX_STARTS = 3  # attempts, where another process has taken an address meanwhile
+MAX_STARTS = 3  # of a play, each on other addresses, if another process has taken one of them meanwhile
 BUILD_TIMEOUT_S = 1200.0  # for the deploy file's `build`
 MODULE_TIMEOUT_S = 3600.0  # for a play that measures the decision module alone
 PARTS_BEFORE_ROUTERS: tuple[Part, ...] = ("discovery", "caches", "origin", "network")
@@ -54,7 +54,10 @@
 
 
 class Outage(Protocol):
-    """A time in which a router is down, in seconds of the schedule; see `fleetlab.standins.schedule`."""
+    """A period during which a router is down, in seconds from the start of the schedule.
+
+    `fleetlab.standins.schedule.RouterOutage` has this interface.
+    """
 
     router: int
     kind: Any  # "restart": SIGTERM, and started again at once; "lost": SIGKILL, and started again at `end`
@@ -88,7 +91,7 @@
 
 
 def estimate_resources(experiment: Experiment) -> Estimate:
-    """Estimate what a play needs, on the high side, from sizes that were measured when the parts were built.
+    """Estimate, on the high side, the processes, memory and descriptors that a play needs.
 
     A worker takes 45 MB; a real router 35 MB; a router's state for one server 4.2 kB; a hollow router 0.3 MB;
     a stand-in's sockets and tasks 60 kB for each router and 20 kB for each server.
@@ -159,7 +162,7 @@
 
 
 def router_outages(plan: Plan) -> Sequence[Outage]:
-    """Return when which routers are down, as all workers derive it from the same plan."""
+    """Return the outages of all routers, which every worker derives from the same plan."""
     schedule: Any = importlib.import_module("fleetlab.standins.schedule")
     return cast(Sequence[Outage], schedule.router_outages(plan))
 
@@ -175,7 +178,7 @@
 
 @dataclass(slots=True)
 class Options:
-    """How to play, apart from what the experiment says."""
+    """The options of a play that are not part of its experiment."""
 
     router_command: str = ""  # a real router's shell command; empty: that of `prepare_router_command`
     worker_command: Sequence[str] = (sys.executable, "-B", "-m", "fleetlab.worker")
@@ -248,7 +251,7 @@
 
 
 def raise_descriptor_limit() -> int:
-    """Raise this process's soft limit on descriptors to the hard one, which workers inherit; returns it."""
+    """Raise this process's soft limit on descriptors, which workers inherit, to the hard one; return that."""
     _, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     resource.setrlimit(resource.RLIMIT_NOFILE, (hard, hard))
     return hard
@@ -280,7 +283,9 @@
     log: Path
     number: int = 0  # of a real router
     ready: asyncio.Event = field(default_factory=asyncio.Event)
-    reported: asyncio.Event = field(default_factory=asyncio.Event)  # its report has come, or never will
+    reported: asyncio.Event = field(
+        default_factory=asyncio.Event
+    )  # set once its report has arrived, or the process has exited
     roles: dict[str, Role] = field(default_factory=dict)
     exit_expected: bool = False
 
@@ -410,12 +415,12 @@
         began = time.monotonic()
         name, start = f"n{number}", self.start_counts.get(number, 0)
         self.start_counts[number] = start + 1
-        own = self.directory / f"{name}-{start}"
-        temporary = own / "tmp"  # private, and empty at each start
+        start_directory = self.directory / f"{name}-{start}"
+        temporary = start_directory / "tmp"  # private, and empty at each start
         temporary.mkdir(parents=True)
         config = router_config(self.plan, number, sockets=ROUTER_SOCKETS)
         config["seed"] = router_seed(self.plan.seed, number, start)
-        path = own / "config.json"
+        path = start_directory / "config.json"
         path.write_bytes(orjson.dumps(config))
         env = {
             **os.environ,
@@ -696,8 +701,8 @@
 def play(experiment: Experiment, seed: int, options: Options | None = None) -> FinishedPlay:
     """Play an experiment and stop all that was started. Raises PlayRefused before anything starts.
 
-    A play that fails or is interrupted still returns what was measured, with `broken_off` and the cause as a
-    note.
+    A play that fails or is interrupted still returns its partial metrics, with `broken_off` set and the cause
+    as a note.
     """
     if experiment.mode == "model":
         raise ExperimentError("mode: expected 'live' or 'module'; a 'model' is not played by processes")
--- a/fleetlab/slopes.py
+++ b/fleetlab/slopes.py
@@ -19,8 +19,8 @@
 
 from fleetlab.results import Machine, Result
 
-# share of the planned requests made, and lag of the event loop: beyond either, a process of hollow routers
-# was overloaded, and its figures are those of the laboratory
+# share of the planned requests made, and lag of the event loop: beyond either limit, a process of hollow
+# routers was overloaded, and its figures describe the laboratory instead of the routers
 MIN_ASKED_SHARE, MAX_LAG_S = 0.9, 1.0
 MIN_PLAYS = 3  # points with fewer plays are marked
 ROUNDING_TOLERANCE = 1e-9  # relative to the largest value; smaller coefficients are rounding errors
@@ -153,10 +153,10 @@
         return any(plays < MIN_PLAYS for _, _, plays in self.at_points)
 
     def value_at(self, size: dict[str, float]) -> Value | None:
-        """Return the value at a size, given by axes; None if no point lies there and the fit cannot tell.
+        """Return the value at a size, given by axes; None if no point lies there and the fit gives none.
 
-        A fit without a term for routers or servers cannot tell, and neither can one that predicts a value
-        below 0 though no measured value was. The range is `INTERVAL_STANDARD_ERRORS` on either side, widened
+        A fit without a term for routers or servers gives none, and neither does one that predicts a value
+        below 0 although no measured value is. The range is `INTERVAL_STANDARD_ERRORS` on either side, widened
         to what fits through single plays predict.
         """
         size_axes = ("routers", "servers")
@@ -211,7 +211,7 @@
 
 
 def read_points(paths: Iterable[Path]) -> list[Point]:
-    """Read the points of result files, `measured.json` files and folders of both.
+    """Read the points of result files, `measured.json` files and directories of both.
 
     A play that occurs more than once counts once. Raises ValueError with the name of a file of another kind.
     """
@@ -264,7 +264,7 @@
         raise ValueError(f"{file} is neither a result nor a summary: {e}") from e
     experiment = result.experiment
     point = Point(experiment.name, experiment.mode, flatten(msgspec.to_builtins(experiment)), [])
-    command = re.sub(r"(?<!\S)(\.\./|/)\S*/", "", result.command)  # drop the machine's folders
+    command = re.sub(r"(?<!\S)(\.\./|/)\S*/", "", result.command)  # drop the machine's directories
     overload = _overload_notes(result)
     play = Play(
         file.name,
@@ -304,11 +304,11 @@
     roles: dict[str, dict[str, Figure]] = {}
     for role in sorted({r for p in plays for r in p}):
         for metric in sorted({m for p in plays for m in p.get(role, {})}):
-            got = [p.get(role, {}).get(metric) for p in plays]
-            known = [g for g in got if g is not None]
+            play_figures = [p.get(role, {}).get(metric) for p in plays]
+            known = [g for g in play_figures if g is not None]
             numbers = [g[0] for g in known]
             mean = math.fsum(numbers) / len(numbers)
-            values = [None if g is None else g[0] for g in got]
+            values = [None if g is None else g[0] for g in play_figures]
             roles.setdefault(role, {})[metric] = Figure(known[0][1], mean, min(numbers), max(numbers), values)
     return roles
 
@@ -360,7 +360,7 @@
     for axis in axes:
         column = np.array([p.axis(axis) for p in with_metric])
         tried = np.stack([*columns, column / np.abs(column).max()], axis=1)
-        # keeps coefficients fewer than points: with as many of them the fit passes through any values
+        # keeps coefficients fewer than points: a fit with as many of them as points passes through any values
         can_add = len(columns) == 1 or len(columns) + 1 < len(with_metric)
         if can_add and np.linalg.matrix_rank(tried) > len(columns):
             columns.append(column / np.abs(column).max())
@@ -433,7 +433,7 @@
 def choose_fit(
     fits: Iterable[Fit], candidates: Sequence[tuple[str, str]], size: dict[str, float], steady: bool = True
 ) -> tuple[Fit, Value] | None:
-    """Return the best fit at a size with its value there, of the first wanted role and metric that has one.
+    """Return the best fit at a size with its value there, of the first candidate (role, metric) that has one.
 
     With `steady`, fits over experiments with no faults but `ROUTINE_FAULTS` come first. Then come, in this
     order: values that are not understated, measured points, fewer axes that differ from the size, terms for
--- a/fleetlab/standins/caches.py
+++ b/fleetlab/standins/caches.py
@@ -54,7 +54,7 @@
 
 
 def syntax_error(parts: Any) -> str:
-    """Return what is malformed in a command; empty if it is well formed."""
+    """Return a description of a command's error; empty if the command is well formed."""
     if not isinstance(parts, list) or not parts or not all(isinstance(p, bytes) for p in parts):
         return "not an array of bulk strings"
     if parts[0] not in COMMAND_PARTS:
@@ -166,7 +166,7 @@
         self.connections: dict[RouterConnection, None] = {}
         self.is_hanging = False
         self.bucket = TokenBucket(cluster.loop.time())
-        # when it was sent requests while cold, within the last `fall_window` seconds
+        # arrival times of requests while cold, within the last `fall_window` seconds
         self.recent_arrivals: deque[float] = deque()
         self.peak_window_share = 0.0  # requests in a window over the number that overloads the server
         self.peak_window_requests = 0
@@ -192,7 +192,7 @@
         self.is_hanging = True
 
     def resume(self) -> None:
-        """End a hang: send the pending replies and process what was received meanwhile."""
+        """End a hang: send the pending replies and process the commands that were received meanwhile."""
         self.is_hanging = False
         for connection in list(self.connections):
             connection.flush()
@@ -275,7 +275,7 @@
         self.rng = Random(f"caches {plan.seed}")
         self.capacity = warm_capacity(plan, real_only=True)
         self.partitions: list[Partition] = partitions(plan)
-        self.loop_start = math.inf  # event loop time
+        self.loop_start = math.inf  # of the schedule, event loop time
         self.servers = {n: Server(self, timeline) for n, timeline in server_timelines(plan).items()}
         self.meter.gauges["connections"] = self.sample_connections
         self.connection_counts: list[list[int]] = []
--- a/fleetlab/standins/clients.py
+++ b/fleetlab/standins/clients.py
@@ -31,9 +31,8 @@
 DEREGISTRATION_S = 0.3  # from SIGTERM of a planned restart until a router gets no new connections
 HEALTH_CHECK_PAUSE_S = 1.0  # from that SIGTERM until the next health check
 HEALTH_CHECK_INTERVAL_S = 0.1
-CLOSE_RACE_S = (
-    0.05  # a kept connection that ends within this time of a request may have been closed before it
-)
+# a kept connection that ends within this time after a request may have been closed before the request arrived
+CLOSE_RACE_S = 0.05
 WRITE_VALUE = b"v" * 200
 INCOMPLETE = object()
 
--- a/fleetlab/standins/discovery.py
+++ b/fleetlab/standins/discovery.py
@@ -88,7 +88,7 @@
         self.encoded_answers.clear()
 
     def has_changes(self, after: int) -> bool:
-        """Whether the current version differs from the one that a watch waits on."""
+        """Return whether the current version differs from the one that a watch has."""
         return after != self.index
 
     def body(self, after: int | None) -> tuple[bytes, int]:
@@ -227,7 +227,7 @@
         self.bytes_out = [0] * count
         self.propagation_times = array("d")  # seconds from publication until written to a router
         self.missed_updates = 0
-        self.unix_start = 0.0
+        self.unix_start = 0.0  # of the schedule, Unix time
         self.outages: dict[int, list[RouterOutage]] = {}
         self.meter.gauges["calls.waiting"] = lambda: float(len(self.queue))
 
@@ -303,11 +303,11 @@
             if begins >= overdue:
                 self.fail(connection)
                 continue
-            lines = 0
+            entry_count = 0
             if connection.after is None or self.versions.has_changes(connection.after):
-                lines = self.versions.body(connection.after)[1]
-            self.busy_until = begins + self.capacity.call_ms / 1e3 + lines * self.capacity.line_us / 1e6
-            # a call that times out in service has used its service time all the same
+                entry_count = self.versions.body(connection.after)[1]
+            self.busy_until = begins + self.capacity.call_ms / 1e3 + entry_count * self.capacity.line_us / 1e6
+            # a call that times out during its service has occupied the server all the same
             done = self.answer if self.busy_until <= overdue else self.fail
             self.loop.call_at(min(self.busy_until, overdue), done, connection)
 
@@ -350,7 +350,7 @@
                 self.propagation_times.append(now - published_at)
 
     def was_down(self, router: int, start: float, end: float) -> bool:
-        """Whether a router had an outage between two Unix times."""
+        """Return whether a router had an outage between two Unix times."""
         own_outages = self.outages.get(router, ())
         return any(self.unix_start + o.start <= end and start <= self.unix_start + o.end for o in own_outages)
 
--- a/fleetlab/standins/lifecycle.py
+++ b/fleetlab/standins/lifecycle.py
@@ -75,7 +75,7 @@
         self.totals["cpu"] = time.process_time() - first_cpu
 
     def total(self, name: str) -> float:
-        """Return what a counter added over the schedule."""
+        """Return the increase of a counter over the schedule."""
         return self.totals.get(name, 0.0)
 
     def rate(self, name: str, unit: str = "1/s") -> Metric:
--- a/fleetlab/standins/network.py
+++ b/fleetlab/standins/network.py
@@ -44,7 +44,7 @@
         self.sockets = [self._socket(addresses.peer_advertised(n)) for n in range(count)]
         self.loss_share = plan.experiment.network.loss
         self.partitions: list[Partition] = partitions(plan)
-        self.loop_start = math.inf
+        self.loop_start = math.inf  # of the schedule, event loop time
         self.overruns_before = 0
         self._update_mode(-math.inf)
 
--- a/fleetlab/standins/origin.py
+++ b/fleetlab/standins/origin.py
@@ -123,7 +123,7 @@
         self.capacity = CAPACITY_FACTOR * share * plan.experiment.fleet.real * requests.rate
         self.bucket = TokenBucket(self.loop.time())
         self.partitions = partitions(plan)
-        self.loop_start = math.inf
+        self.loop_start = math.inf  # of the schedule, event loop time
         self.meter.gauges["connections"] = lambda: float(len(self.connections))
 
     def handle_request(
--- a/fleetlab/standins/schedule.py
+++ b/fleetlab/standins/schedule.py
@@ -1,4 +1,4 @@
-"""The schedule of an experiment's faults: what they do to which servers and routers, and when.
+"""The schedule of an experiment's faults: which servers and routers each one affects, how and when.
 
 Every process derives the same schedule from the same plan and seed, so discovery, the cache servers, the
 hollow routers and the network agree without exchanging messages. Times are seconds from the start of the
@@ -18,7 +18,7 @@
 
 LOSS_DETECTION_S = 1.0  # until discovery notices that a server is gone
 PROPAGATION_S = 6.0  # by then every router is expected to have a published change (PROTOCOL, Figures)
-RESTART_S = 3.7  # longest drain: from SIGTERM until a router has answered what it took (PROTOCOL, Figures)
+RESTART_S = 3.7  # longest drain: from SIGTERM until a router has answered its requests (PROTOCOL, Figures)
 UTILIZATION_SHARE = 0.5  # share of the cache servers' total capacity in use while all of them are warm
 
 
@@ -52,15 +52,15 @@
         return next((u for u in self.uptimes if u.start <= at < u.end), None)
 
     def is_up(self, at: float) -> bool:
-        """Whether the server process exists at a time, hanging or not."""
+        """Return whether the server process exists at a time, hanging or not."""
         return self.uptime_at(at) is not None
 
     def is_hanging(self, at: float) -> bool:
-        """Whether the server accepts connections and bytes at a time but answers nothing."""
+        """Return whether at a time the server accepts connections and bytes but answers nothing."""
         return any(start <= at < end for start, end in self.hangs)
 
     def start_time(self, at: float) -> float | None:
-        """When the current uptime began; None if the server is down or was up before the schedule."""
+        """Return when the uptime at a time began; None while down, or if that was before the schedule."""
         uptime = self.uptime_at(at)
         return None if uptime is None or uptime.start == -math.inf else uptime.start
 
@@ -172,7 +172,7 @@
 
 
 def _fault_times(plan: Plan, index: int, fault: Fault) -> Iterable[tuple[float, Fault, Random]]:
-    """The times at which a fault acts; its random numbers do not depend on the other faults."""
+    """Return the times at which a fault acts; its random numbers do not depend on the other faults."""
     rng = Random(f"{plan.seed} {index} {fault.kind}")
     repeats = fault.kind in ("servers_change", "changes", "restart")  # `count` times, evenly over `lasts`
     repetitions = fault.count if repeats else 1
@@ -189,7 +189,7 @@
 
 
 def lag_at(plan: Plan, at: float) -> float:
-    """Return the seconds after which discovery publishes something that happens at this time."""
+    """Return the delay in seconds with which discovery publishes a change that happens at this time."""
     active = [f for f in plan.experiment.faults if f.kind == "lists_late" and f.at <= at < f.at + f.lasts]
     return plan.experiment.discovery.lag + sum(f.count for f in active)
 
@@ -197,8 +197,8 @@
 def list_changes(plan: Plan) -> list[ListChange]:
     """Return the versions of the list after the first one, in order, beginning with version 2.
 
-    `plan.schedule_start` must be the Unix time at which the schedule begins, because `since_ms` is Unix time. Changes
-    are published in the order in which they happen, even if the lag shrinks in between.
+    `plan.schedule_start` must be the Unix time at which the schedule begins, because `since_ms` is Unix time.
+    Changes are published in the order in which they happen, even if the lag shrinks in between.
     """
     versions: list[tuple[float, dict[str, dict[str, Any]]]] = []
     last = -math.inf
@@ -241,7 +241,7 @@
 
 
 def is_partitioned(zone_partitions: list[Partition], one: int, other: int, at: float) -> bool:
-    """Whether two zones cannot reach each other at a time."""
+    """Return whether two zones cannot reach each other at a time."""
     return any(p.start <= at < p.end and (one == p.zone) != (other == p.zone) for p in zone_partitions)
 
 
--- a/tests/test_lab_hollow.py
+++ b/tests/test_lab_hollow.py
@@ -24,7 +24,7 @@
 from tests.driver import entry, settings
 from tests.loopback import http, run
 
-CONF = settings(may_gossip=True)
+SETTINGS = settings(may_gossip=True)
 SERVERS = [entry(f"s{i}", zone="ab"[i % 2]) for i in range(6)]
 
 
@@ -32,7 +32,7 @@
 
 
 def test_a_sample_of_listeners_receives_all_messages_of_the_others() -> None:
-    fleet = FleetModel(CONF, 12, SERVERS, siblings=36, listeners=3)
+    fleet = FleetModel(SETTINGS, 12, SERVERS, siblings=36, max_listeners=3)
     fleet.run(2.0, 600.0, zipf_weights(50))
     sent, received = Counter[int](), Counter[int]()
     for (number, _), count in fleet.messages_out.items():
@@ -67,7 +67,7 @@
     fleet.run(2.0, 5.0, [1.0])
     statuses = Counter(o.status for o in seen)
     assert statuses[api.Status.TIMEOUT] == 1 and statuses[api.Status.CONNECT_FAILED] >= 1
-    assert all(o.latency == CONF.dial_timeout for o in seen if o.status is api.Status.CONNECT_FAILED)
+    assert all(o.latency == SETTINGS.dial_timeout for o in seen if o.status is api.Status.CONNECT_FAILED)
     assert fleet.finished["served"] == 0 < fleet.finished["failed"]
     fleet.recover(["a"])
     fleet.run(4.0, 5.0, [1.0])
@@ -85,7 +85,7 @@
 
 
 def test_lost_routers_receive_neither_requests_nor_messages() -> None:
-    fleet = FleetModel(CONF, 4, SERVERS)
+    fleet = FleetModel(SETTINGS, 4, SERVERS)
     fleet.run(1.0, 200.0, zipf_weights(50))
     fleet.fail([], [0])
     requests, received = (
@@ -103,7 +103,7 @@
     def rings() -> list[tuple[list[int], list[str], list[float]]]:
         found = []
         for number in range(2):
-            router = Router(CONF, number, 100.0)
+            router = Router(SETTINGS, number, 100.0)
             for event in (api.ServerList(api.ListKind.SAVED, tuple(SERVERS)), drained):
                 router.handle(100.0, event)
                 ring = router.ring
--- a/tests/test_lab_report.py
+++ b/tests/test_lab_report.py
@@ -278,18 +278,18 @@
 
 def test_report_command_takes_files_and_folders(tmp_path: Path) -> None:
     path = write_play(tmp_path / "r", (40, 60), 1, {"module": {"state.mb": 1.0}})
-    for i, which in enumerate((path, path.parent)):
+    for i, results in enumerate((path, path.parent)):
         out = tmp_path / str(i)
         done = CliRunner().invoke(
-            main, ["report", str(which), "--out", str(out), "--page", str(out / "page.md")]
+            main, ["report", str(results), "--out", str(out), "--page", str(out / "page.md")]
         )
         assert done.exit_code == 0, done.output
     assert (tmp_path / "0" / "page.md").read_bytes() == (tmp_path / "1" / "page.md").read_bytes()
 
 
 def test_sizes_and_settings_are_read_by_name(tmp_path: Path) -> None:
-    spec = capacity.read_fleet_spec(report.LAB_DIR / report.SIZES_FILE)
-    users = spec.sizes["users"]
+    fleet_spec = capacity.read_fleet_spec(report.LAB_DIR / report.SIZES_FILE)
+    users = fleet_spec.sizes["users"]
     assert users.routers * users.rate == pytest.approx(1.3e6, rel=0.01)
     assert set(capacity.SIZE_NAMES) <= set(
         tomllib.loads((report.LAB_DIR / report.SIZES_FILE).read_text())["sizes"]
--- a/tests/test_lab_runner.py
+++ b/tests/test_lab_runner.py
@@ -84,7 +84,7 @@
 
 @dataclass
 class FakeOutage:
-    """A time in which a router is down, as the schedule gives it."""
+    """A period during which a router is down."""
 
     router: int
     kind: str
--- a/tests/test_lab_standins.py
+++ b/tests/test_lab_standins.py
@@ -29,7 +29,7 @@
 from brackenwalk.net.peers import PeerSocket
 from brackenwalk.net.pool import Connection, Pool
 from brackenwalk.net.servers import CacheConnection
-from fleetlab import experiment as ex
+from fleetlab import experiment as lab
 from fleetlab.plan import (
     Addresses,
     Message,
@@ -43,15 +43,15 @@
 )
 from fleetlab.results import Role
 from fleetlab.standins import caches, clients, discovery, lifecycle, network, origin
-from fleetlab.standins import schedule as sched
+from fleetlab.standins import schedule as fault_schedule
 from fleetlab.standins.lifecycle import host_port
 
-ID = b"0000aaaabbbbcccc"
+REQUEST_ID = b"0000aaaabbbbcccc"
 TIMEOUT_S = 8.0  # far more than any test here takes
 Run = Callable[[Plan, Callable[[], None], Awaitable[float], asyncio.Event], Awaitable[dict[str, Role]]]
 
 
-def addresses() -> Addresses:
+def free_addresses() -> Addresses:
     """Find a block of unused loopback addresses and ports."""
     while True:
         found = Addresses(net=random.randint(20, 250), port=random.randint(20000, 32000))
@@ -65,10 +65,10 @@
 
 
 def plan_of(part: Part = "discovery", seed: int = 1, **fields: Any) -> Plan:
-    fields.setdefault("fleet", ex.Fleet(real=3, servers=4, zones=2))
-    fields.setdefault("requests", ex.Requests(latency_ms=2.0))
+    fields.setdefault("fleet", lab.Fleet(real=3, servers=4, zones=2))
+    fields.setdefault("requests", lab.Requests(latency_ms=2.0))
     fields = {"seconds": 30.0} | fields
-    return Plan(part, ex.Experiment(name="test", **fields), addresses(), seed)
+    return Plan(part, lab.Experiment(name="test", **fields), free_addresses(), seed)
 
 
 class RunningStandIn:
@@ -123,7 +123,7 @@
 
 FAULTS = st.lists(
     st.builds(
-        ex.Fault,
+        lab.Fault,
         kind=st.sampled_from(
             ["servers_change", "servers_lost", "servers_hang", "zone_lost", "changes", "lists_late"]
         ),
@@ -138,11 +138,13 @@
 
 @hypothesis_settings(max_examples=60, deadline=None)
 @given(faults=FAULTS, seed=st.integers(0, 3))
-def test_list_matches_server_timelines_and_is_reproducible_by_seed(faults: list[ex.Fault], seed: int) -> None:
-    experiment = ex.Experiment(name="x", faults=faults, fleet=ex.Fleet(servers=7, zones=2))
+def test_list_matches_server_timelines_and_is_reproducible_by_seed(
+    faults: list[lab.Fault], seed: int
+) -> None:
+    experiment = lab.Experiment(name="x", faults=faults, fleet=lab.Fleet(servers=7, zones=2))
     plan = Plan("discovery", experiment, Addresses(5, 1000), seed, schedule_start=1000.0)
-    changes, timelines = sched.list_changes(plan), sched.server_timelines(plan)
-    assert (changes, timelines) == (sched.list_changes(plan), sched.server_timelines(plan))
+    changes, timelines = fault_schedule.list_changes(plan), fault_schedule.server_timelines(plan)
+    assert (changes, timelines) == (fault_schedule.list_changes(plan), fault_schedule.server_timelines(plan))
     assert [c.at for c in changes] == sorted({c.at for c in changes})
     listed = {e["name"]: e for e in initial_server_list(plan)["endpoints"] if e["type"] == "cache"}
     for change in changes:
@@ -160,44 +162,47 @@
 
 def test_seed_determines_affected_servers_and_routers() -> None:
     faults = [
-        ex.Fault(kind="servers_lost", at=1, lasts=5, count=3),
-        ex.Fault(kind="router_lost", at=1, lasts=5, count=3),
+        lab.Fault(kind="servers_lost", at=1, lasts=5, count=3),
+        lab.Fault(kind="router_lost", at=1, lasts=5, count=3),
     ]
-    fleet = ex.Fleet(real=4, hollow=40, servers=40)
+    fleet = lab.Fleet(real=4, hollow=40, servers=40)
     plans = [plan_of(seed=s, faults=faults, fleet=fleet) for s in range(4)]
-    lost = [{n for n, timeline in sched.server_timelines(p).items() if not timeline.is_up(2)} for p in plans]
-    gone = [{a.router for a in sched.router_outages(p)} for p in plans]
+    lost = [
+        {n for n, timeline in fault_schedule.server_timelines(p).items() if not timeline.is_up(2)}
+        for p in plans
+    ]
+    gone = [{a.router for a in fault_schedule.router_outages(p)} for p in plans]
     assert all(len(x) == 3 for x in lost + gone)
     assert len({frozenset(x) for x in lost}) > 1 and len({frozenset(x) for x in gone}) > 1
 
 
 def test_replaced_server_drains_and_its_replacement_is_cold() -> None:
-    plan = plan_of(faults=[ex.Fault(kind="servers_change", at=2.0)])
-    timelines, changes = sched.server_timelines(plan), sched.list_changes(plan)
+    plan = plan_of(faults=[lab.Fault(kind="servers_change", at=2.0)])
+    timelines, changes = fault_schedule.server_timelines(plan), fault_schedule.list_changes(plan)
     old = next(n for n, timeline in timelines.items() if timeline.drain_start == 2.0)
     new = next(n for n in timelines if n >= 4)
     assert new % 2 == old % 2  # in the same zone
     assert [e["status"] for c in changes for e in c.entries] == ["terminating", "in_service", "terminated"]
-    assert sched.warm_up_share(plan, timelines[old].start_time(3.0), 3.0) == 1.0
+    assert fault_schedule.warm_up_share(plan, timelines[old].start_time(3.0), 3.0) == 1.0
     cold, ramp = plan.experiment.cold_share, plan.experiment.ramp
-    assert sched.warm_up_share(plan, timelines[new].start_time(2.0), 2.0) == pytest.approx(cold)
-    assert sched.warm_up_share(plan, 2.0, 2.0 + ramp / 2) == pytest.approx((1 + cold) / 2)
-    assert sched.warm_up_share(plan, 2.0, 2.0 + ramp) == pytest.approx(1.0)
+    assert fault_schedule.warm_up_share(plan, timelines[new].start_time(2.0), 2.0) == pytest.approx(cold)
+    assert fault_schedule.warm_up_share(plan, 2.0, 2.0 + ramp / 2) == pytest.approx((1 + cold) / 2)
+    assert fault_schedule.warm_up_share(plan, 2.0, 2.0 + ramp) == pytest.approx(1.0)
 
 
 def test_delayed_list_changes_are_published_in_order() -> None:
     faults = [
-        ex.Fault(kind="lists_late", at=0, lasts=2, count=4),
-        ex.Fault(kind="changes", at=1, lasts=2, count=2),
+        lab.Fault(kind="lists_late", at=0, lasts=2, count=4),
+        lab.Fault(kind="changes", at=1, lasts=2, count=2),
     ]
-    changes = sched.list_changes(plan_of(faults=faults, discovery=ex.Discovery(lag=0.5)))
+    changes = fault_schedule.list_changes(plan_of(faults=faults, discovery=lab.Discovery(lag=0.5)))
     # the change at 2.0 has a lag of 0.5 s, but waits for that of 1.0, which has one of 4.5 s
     assert [c.at for c in changes] == [5.5]
     assert 1 <= len(changes[0].entries) <= 2
 
 
 def test_first_routers_of_each_process_listen() -> None:
-    plan = plan_of(fleet=ex.Fleet(real=2, hollow=10, processes=3, listening=0.5))
+    plan = plan_of(fleet=lab.Fleet(real=2, hollow=10, processes=3, listening=0.5))
     assert hollow_by_process(plan.experiment) == [[2, 5, 8, 11], [3, 6, 9], [4, 7, 10]]
     assert peer_listeners(plan) == [0, 1, 2, 3, 4, 5, 6, 7]
 
@@ -218,7 +223,7 @@
 
 def test_discovery_serves_list_and_sends_changes_to_watches() -> None:
     async def test() -> None:
-        faults = [ex.Fault(kind="servers_lost", at=0.1, lasts=0.2), ex.Fault(kind="changes", at=0.5)]
+        faults = [lab.Fault(kind="servers_lost", at=0.1, lasts=0.2), lab.Fault(kind="changes", at=0.5)]
         async with RunningStandIn(discovery.run, plan_of(faults=faults)) as standin:
             status, whole_list = await call_discovery(standin.plan, 0)
             assert (status, whole_list) == (200, initial_server_list(standin.plan))
@@ -248,7 +253,7 @@
 
 def test_continued_watch_bypasses_queue_and_queued_calls_time_out_with_503() -> None:
     async def test() -> None:
-        capacity = ex.Discovery(call_ms=300.0, line_us=0.0, timeout=0.45)
+        capacity = lab.Discovery(call_ms=300.0, line_us=0.0, timeout=0.45)
         async with RunningStandIn(discovery.run, plan_of(discovery=capacity)) as standin:
             began = time.monotonic()
             assert (await call_discovery(standin.plan, 0, "?after=1&wait_ms=0"))[0] == 200
@@ -271,7 +276,7 @@
 
 def test_discovery_sends_missed_changes_after_outage() -> None:
     async def test() -> None:
-        faults = [ex.Fault(kind="discovery_down", at=0.2, lasts=0.4), ex.Fault(kind="changes", at=0.3)]
+        faults = [lab.Fault(kind="discovery_down", at=0.2, lasts=0.4), lab.Fault(kind="changes", at=0.3)]
         async with RunningStandIn(discovery.run, plan_of(faults=faults)) as standin:
             watch = RouterWatch(standin.plan, 0)
             await asyncio.sleep(0.1)
@@ -296,7 +301,7 @@
 ) -> tuple[Status, bytes] | None:
     """Make one attempt with the router's own client; None if there is no answer in time."""
     pool = Pool(make, 10, 1.0, 10.0)
-    parts = [b"C.GET", b"a/b", ID, b"c=read,d=900"]
+    parts = [b"C.GET", b"a/b", REQUEST_ID, b"c=read,d=900"]
     command = read_command(parts if value is None else [b"C.SET", *parts[1:3], b"c=book,d=900,k=1", value])
     done: asyncio.Future[tuple[Status, bytes]] = asyncio.get_running_loop().create_future()
     pool.start(address, command, wait, lambda status, value: done.set_result((status, value)))
@@ -311,11 +316,11 @@
 @pytest.mark.parametrize(("hits", "expected"), [(1.0, Status.OK), (0.0, Status.MISS)])
 def test_cache_server_hits_or_misses(hits: float, expected: Status) -> None:
     async def test() -> None:
-        plan = plan_of("caches", requests=ex.Requests(hits=hits, latency_ms=2.0))
+        plan = plan_of("caches", requests=lab.Requests(hits=hits, latency_ms=2.0))
         async with RunningStandIn(caches.run, plan) as standin:
             found = await attempt(CacheConnection, standin.plan.addresses.server(3))
             assert found is not None and found[0] is expected
-            assert found[1].startswith(ID if hits else b"")
+            assert found[1].startswith(REQUEST_ID if hits else b"")
             assert await attempt(CacheConnection, standin.plan.addresses.server(0), b"v") == (
                 Status.ERROR,
                 b"",
@@ -327,7 +332,7 @@
 def test_cache_server_follows_protocol_and_refuses_beyond_capacity() -> None:
     async def test() -> None:
         async with RunningStandIn(
-            caches.run, plan_of("caches", requests=ex.Requests(hits=1.0, rate=1.0))
+            caches.run, plan_of("caches", requests=lab.Requests(hits=1.0, rate=1.0))
         ) as standin:
             address = standin.plan.addresses.server(1)
             other = b"*1\r\n$4\r\nPING\r\n*2\r\n$6\r\nSELECT\r\n$1\r\n0\r\n*1\r\n$5\r\nHELLO\r\n"
@@ -337,7 +342,7 @@
             )
             assert (await exchange(address, b"*1\r\n$5\r\nC.GET\r\n", b"\n")).startswith(b"-SYNTAX")
             assert (await exchange(address, b"GET / HTTP/1.1\r\n\r\n")).startswith(b"-SYNTAX")
-            one = b"*4\r\n$5\r\nC.GET\r\n$1\r\nk\r\n$16\r\n%b\r\n$8\r\nc=x,d=90\r\n" % ID
+            one = b"*4\r\n$5\r\nC.GET\r\n$1\r\nk\r\n$16\r\n%b\r\n$8\r\nc=x,d=90\r\n" % REQUEST_ID
             # requests beyond the capacity are refused, and answers come in the order of the commands
             answers = await exchange(address, one * 6, b"-BUSY\r\n-BUSY\r\n")
             assert answers.count(b"$3\r\nhit\r\n$-1\r\n") == 4
@@ -348,23 +353,23 @@
 def test_cache_servers_hang_and_restart_cold_after_loss() -> None:
     async def test() -> None:
         faults = [
-            ex.Fault(kind="servers_lost", at=0.0, lasts=0.6, count=1),
-            ex.Fault(kind="servers_hang", at=0.05, lasts=0.6, count=1),
+            lab.Fault(kind="servers_lost", at=0.0, lasts=0.6, count=1),
+            lab.Fault(kind="servers_hang", at=0.05, lasts=0.6, count=1),
         ]
-        plan = plan_of("caches", requests=ex.Requests(hits=1.0, latency_ms=1.0), faults=faults)
-        timelines = sched.server_timelines(plan)
+        plan = plan_of("caches", requests=lab.Requests(hits=1.0, latency_ms=1.0), faults=faults)
+        timelines = fault_schedule.server_timelines(plan)
         lost = next(n for n, timeline in timelines.items() if not timeline.is_up(0.1))
         hung = next(n for n, timeline in timelines.items() if timeline.hangs)
         assert lost != hung
         async with RunningStandIn(caches.run, plan) as standin:
             standin.begin()
             await asyncio.sleep(0.1)
-            at = standin.plan.addresses.server
-            assert await attempt(CacheConnection, at(lost), wait=0.05) == (Status.CONNECT_FAILED, b"")
-            assert await attempt(CacheConnection, at(hung), wait=0.1) is None
-            reply = await attempt(CacheConnection, at(hung))  # no answer before the hang ends
+            address_of = standin.plan.addresses.server
+            assert await attempt(CacheConnection, address_of(lost), wait=0.05) == (Status.CONNECT_FAILED, b"")
+            assert await attempt(CacheConnection, address_of(hung), wait=0.1) is None
+            reply = await attempt(CacheConnection, address_of(hung))  # no answer before the hang ends
             assert reply is not None and reply[0] is Status.OK
-            assert await attempt(CacheConnection, at(lost)) == (Status.MISS, b"")
+            assert await attempt(CacheConnection, address_of(lost)) == (Status.MISS, b"")
         metrics = standin.roles["caches"].metrics
         assert metrics["cold.window"].value > 0 and metrics["cold.window.sent"].high == 1
         assert metrics["handshakes"].count == 3
@@ -374,7 +379,7 @@
 
 def test_cache_server_does_not_answer_across_partition() -> None:
     async def test() -> None:
-        plan = plan_of("caches", faults=[ex.Fault(kind="region_cut", at=0.0, lasts=20.0, zone=1)])
+        plan = plan_of("caches", faults=[lab.Fault(kind="region_cut", at=0.0, lasts=20.0, zone=1)])
         async with RunningStandIn(caches.run, plan) as standin:
             standin.begin()
             await asyncio.sleep(0.05)
@@ -386,15 +391,15 @@
 
 def test_origin_reads_writes_and_refuses_beyond_capacity() -> None:
     async def test() -> None:
-        plan = plan_of("origin", requests=ex.Requests(latency_ms=2.0, rate=1e-3))
+        plan = plan_of("origin", requests=lab.Requests(latency_ms=2.0, rate=1e-3))
         async with RunningStandIn(origin.run, plan) as standin:
             address = plan.addresses.origin()
             read, write = (
                 await attempt(OriginConnection, address),
                 await attempt(OriginConnection, address, b"v"),
             )
-            assert read is not None and read[0] is Status.OK and read[1].startswith(ID + b" a/b")
-            assert write is not None and write[0] is Status.OK and write[1].startswith(ID)
+            assert read is not None and read[0] is Status.OK and read[1].startswith(REQUEST_ID + b" a/b")
+            assert write is not None and write[0] is Status.OK and write[1].startswith(REQUEST_ID)
             assert (await exchange(address, b"GET /k HTTP/1.1\r\nHost: x\r\n\r\n", b"\n")).startswith(
                 b"HTTP/1.1 400"
             )
@@ -409,16 +414,19 @@
 
 def test_datagrams_come_from_senders_peer_address_and_reach_only_listeners() -> None:
     async def test() -> None:
-        plan = plan_of("network", fleet=ex.Fleet(real=2, hollow=2, processes=1, listening=0.5))
-        at = plan.addresses
+        plan = plan_of("network", fleet=lab.Fleet(real=2, hollow=2, processes=1, listening=0.5))
+        plan_addresses = plan.addresses
         heard: asyncio.Queue[tuple[int, bytes]] = asyncio.Queue()
-        seen = [at.peer_advertised(n) for n in range(4)]
+        seen = [plan_addresses.peer_advertised(n) for n in range(4)]
         async with RunningStandIn(network.run, plan) as standin:
             standin.begin()
             await asyncio.sleep(0.05)
             peers = [
                 PeerSocket(
-                    at.peer_listen(n), seen, at.peers_all(), lambda data, n=n: heard.put_nowait((n, data))
+                    plan_addresses.peer_listen(n),
+                    seen,
+                    plan_addresses.peers_all(),
+                    lambda data, n=n: heard.put_nowait((n, data)),
                 )  # type: ignore[misc]
                 for n in range(4)
             ]
@@ -444,24 +452,24 @@
 
 def test_network_doubles_garbles_and_partitions() -> None:
     async def test() -> None:
-        disturbed = ex.Network(doubled=1.0, garbled=1.0, late_ms=1.0)
-        faults = [ex.Fault(kind="region_cut", at=0.0, lasts=10.0, zone=1)]
-        plan = plan_of("network", network=disturbed, faults=faults, fleet=ex.Fleet(real=3, zones=2))
-        at = plan.addresses
+        disturbed = lab.Network(doubled=1.0, garbled=1.0, late_ms=1.0)
+        faults = [lab.Fault(kind="region_cut", at=0.0, lasts=10.0, zone=1)]
+        plan = plan_of("network", network=disturbed, faults=faults, fleet=lab.Fleet(real=3, zones=2))
+        plan_addresses = plan.addresses
         async with RunningStandIn(network.run, plan) as standin:
             standin.begin()
             await asyncio.sleep(0.05)
             with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sender:
-                sender.bind(host_port(at.peer_listen(0)))
+                sender.bind(host_port(plan_addresses.peer_listen(0)))
                 heard: asyncio.Queue[bytes] = asyncio.Queue()
                 peer = PeerSocket(
-                    at.peer_listen(2),
-                    [at.peer_advertised(n) for n in range(3)],
-                    at.peers_all(),
+                    plan_addresses.peer_listen(2),
+                    [plan_addresses.peer_advertised(n) for n in range(3)],
+                    plan_addresses.peers_all(),
                     heard.put_nowait,
                 )
                 await peer.start()
-                sender.sendto(b"word", host_port(at.peers_all()))
+                sender.sendto(b"word", host_port(plan_addresses.peers_all()))
                 twice = [await heard.get(), await heard.get()]
                 assert twice[0] == twice[1] != b"word" and len(twice[0]) == 4
                 peer.close()
@@ -475,8 +483,8 @@
         plan = plan_of(
             "clients",
             seconds=1.0,
-            fleet=ex.Fleet(real=1),
-            requests=ex.Requests(rate=60.0, writes=0.3),
+            fleet=lab.Fleet(real=1),
+            requests=lab.Requests(rate=60.0, writes=0.3),
             settle=5.0,
         )
         commands: list[list[bytes]] = []
