--- a/fleetlab/runner.py
+++ b/fleetlab/runner.py
@@ -39,7 +39,7 @@
 BUSY_SHARE = 0.9  # of the machine's processor time; above it measured times are reported as unreliable
 REPORT_TIMEOUT_S = 20.0  # for the workers' reports, after the schedule
 TERMINATE_TIMEOUT_S = 8.0  # from SIGTERM to SIGKILL; workers take up to five seconds for their report
-MAX_STARTS = 3  # attempts, where another process has taken an address meanwhile
+MAX_STARTS = 3  # of a play, each on other addresses, if another process has taken one of them meanwhile
 BUILD_TIMEOUT_S = 1200.0  # for the deploy file's `build`
 MODULE_TIMEOUT_S = 3600.0  # for a play that measures the decision module alone
 PARTS_BEFORE_ROUTERS: tuple[Part, ...] = ("discovery", "caches", "origin", "network")
@@ -53,8 +53,11 @@
     """A play can't continue; the message gives the cause."""
 
 
-class Absence(Protocol):
-    """A time in which a router is down, in seconds of the schedule; see `fleetlab.standins.schedule`."""
+class Outage(Protocol):
+    """A period during which a router is down, in seconds from the start of the schedule.
+
+    `fleetlab.standins.schedule.RouterOutage` has this interface.
+    """
 
     router: int
     kind: Any  # "restart": SIGTERM, and started again at once; "lost": SIGKILL, and started again at `end`
@@ -88,7 +91,7 @@
 
 
 def estimate_resources(experiment: Experiment) -> Estimate:
-    """Estimate what a play needs, on the high side, from sizes that were measured when the parts were built.
+    """Estimate, on the high side, the processes, memory and descriptors that a play needs.
 
     A worker takes 45 MB; a real router 35 MB; a router's state for one server 4.2 kB; a hollow router 0.3 MB;
     a stand-in's sockets and tasks 60 kB for each router and 20 kB for each server.
@@ -131,7 +134,7 @@
     return experiment.memory_share * psutil.virtual_memory().total / 1e6
 
 
-def router_command(root: Path = ROOT) -> tuple[str, list[str]]:
+def prepare_router_command(root: Path = ROOT) -> tuple[str, list[str]]:
     """Return the shell command that starts a real router, and notes for the result.
 
     It is the deploy file's `run`, after its `build` if there is no virtual environment yet. If the build
@@ -158,10 +161,10 @@
     return f"exec '{sys.executable}' -B -m brackenwalk"
 
 
-def router_absences(plan: Plan) -> Sequence[Absence]:
-    """Return when which routers are down, as all workers derive it from the same plan."""
+def router_outages(plan: Plan) -> Sequence[Outage]:
+    """Return the outages of all routers, which every worker derives from the same plan."""
     schedule: Any = importlib.import_module("fleetlab.standins.schedule")
-    return cast(Sequence[Absence], schedule.router_outages(plan))
+    return cast(Sequence[Outage], schedule.router_outages(plan))
 
 
 def router_seed(seed: int, number: int, start: int) -> str:
@@ -175,12 +178,12 @@
 
 @dataclass(slots=True)
 class Options:
-    """How to play, apart from what the experiment says."""
+    """The options of a play that are not part of its experiment."""
 
-    router_command: str = ""  # a real router's shell command; empty: the function `router_command`
+    router_command: str = ""  # a real router's shell command; empty: that of `prepare_router_command`
     worker_command: Sequence[str] = (sys.executable, "-B", "-m", "fleetlab.worker")
     module_command: Sequence[str] = (sys.executable, "-B", "-m", "fleetlab", "module")
-    absences: Callable[[Plan], Sequence[Absence]] = router_absences
+    outages: Callable[[Plan], Sequence[Outage]] = router_outages
     log_dir: Path | None = None  # where all logs are kept
     command_line: str = ""  # for the result
     progress: Callable[[str, float, float], None] = _no_progress  # stage, seconds done, seconds in all
@@ -248,7 +251,7 @@
 
 
 def raise_descriptor_limit() -> int:
-    """Raise this process's soft limit on descriptors to the hard one, which workers inherit; returns it."""
+    """Raise this process's soft limit on descriptors, which workers inherit, to the hard one; return that."""
     _, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     resource.setrlimit(resource.RLIMIT_NOFILE, (hard, hard))
     return hard
@@ -280,7 +283,9 @@
     log: Path
     number: int = 0  # of a real router
     ready: asyncio.Event = field(default_factory=asyncio.Event)
-    reported: asyncio.Event = field(default_factory=asyncio.Event)  # its report has come, or never will
+    reported: asyncio.Event = field(
+        default_factory=asyncio.Event
+    )  # set once its report has arrived, or the process has exited
     roles: dict[str, Role] = field(default_factory=dict)
     exit_expected: bool = False
 
@@ -314,7 +319,7 @@
         self.start_counts: dict[int, int] = {}  # by real router
         self.failure: asyncio.Future[str] = asyncio.get_running_loop().create_future()
         self.tasks: set[asyncio.Task[None]] = set()
-        self.absence_tasks: set[asyncio.Task[None]] = set()
+        self.outage_tasks: set[asyncio.Task[None]] = set()
         self.spawning: set[asyncio.Task[ChildProcess]] = set()
         self.log_dir = options.log_dir or directory / "logs"
         self.log_dir.mkdir(parents=True, exist_ok=True)
@@ -410,12 +415,12 @@
         began = time.monotonic()
         name, start = f"n{number}", self.start_counts.get(number, 0)
         self.start_counts[number] = start + 1
-        own = self.directory / f"{name}-{start}"
-        temporary = own / "tmp"  # private, and empty at each start
+        start_directory = self.directory / f"{name}-{start}"
+        temporary = start_directory / "tmp"  # private, and empty at each start
         temporary.mkdir(parents=True)
         config = router_config(self.plan, number, sockets=ROUTER_SOCKETS)
         config["seed"] = router_seed(self.plan.seed, number, start)
-        path = own / "config.json"
+        path = start_directory / "config.json"
         path.write_bytes(orjson.dumps(config))
         env = {
             **os.environ,
@@ -448,15 +453,15 @@
             await asyncio.gather(self._start_parts([p for p in parts if p[0] == "hollow"]), *real)
             await self._start_parts([p for p in parts if p[0] == "clients"])
 
-    async def _play_absence(self, absence: Absence, schedule_start: float) -> None:
+    async def _play_outage(self, outage: Outage, schedule_start: float) -> None:
         """Stop a real router and start it again."""
-        await asyncio.sleep(schedule_start + absence.start - time.time())
-        child = self.routers[absence.router]
+        await asyncio.sleep(schedule_start + outage.start - time.time())
+        child = self.routers[outage.router]
         if child.exit_expected:
-            self.notes.append(f"{child.name} was down already at {absence.start:g} s")
+            self.notes.append(f"{child.name} was down already at {outage.start:g} s")
             return
         child.exit_expected = True
-        child.signal(signal.SIGTERM if absence.kind == "restart" else signal.SIGKILL)
+        child.signal(signal.SIGTERM if outage.kind == "restart" else signal.SIGKILL)
         try:
             async with asyncio.timeout(TERMINATE_TIMEOUT_S):
                 await child.process.wait()
@@ -466,11 +471,11 @@
             )
             child.signal(signal.SIGKILL)
             await child.process.wait()
-        if absence.kind != "restart":
-            await asyncio.sleep(schedule_start + absence.end - time.time())
+        if outage.kind != "restart":
+            await asyncio.sleep(schedule_start + outage.end - time.time())
         try:
             async with asyncio.timeout(self.experiment.settle):
-                await self._start_router(absence.router, self.restart_times)
+                await self._start_router(outage.router, self.restart_times)
         except TimeoutError:
             self.fail(f"{child.name} was not ready again within {self.experiment.settle:g} s (settle)")
 
@@ -504,9 +509,9 @@
         for worker in workers:
             if worker.process.stdin is not None:
                 worker.process.stdin.write(orjson.dumps({"began": schedule_start}) + b"\n")
-        for absence in self.options.absences(self.plan) if self.experiment.faults else []:
-            if absence.router < self.experiment.fleet.real:
-                self.absence_tasks.add(self._create_task(self._play_absence(absence, schedule_start)))
+        for outage in self.options.outages(self.plan) if self.experiment.faults else []:
+            if outage.router < self.experiment.fleet.real:
+                self.outage_tasks.add(self._create_task(self._play_outage(outage, schedule_start)))
         second, missed = 0.0, 0
         while True:
             await asyncio.sleep(schedule_start + second - time.time())
@@ -519,8 +524,8 @@
             second = min(second + 1 + behind, seconds)
         if missed:
             self.notes.append(f"{missed} samples missed: the machine was too busy to sample every second")
-        if self.absence_tasks:  # restarts near the end still count
-            await asyncio.wait(self.absence_tasks, timeout=self.experiment.settle)
+        if self.outage_tasks:  # restarts near the end still count
+            await asyncio.wait(self.outage_tasks, timeout=self.experiment.settle)
         try:
             async with asyncio.timeout(REPORT_TIMEOUT_S):
                 await asyncio.gather(*(w.reported.wait() for w in workers))
@@ -549,7 +554,7 @@
 
     async def stop(self) -> None:
         """Stop all processes with SIGTERM, whereupon workers may still report, then with SIGKILL."""
-        for task in self.absence_tasks:
+        for task in self.outage_tasks:
             task.cancel()
         await asyncio.gather(*self.spawning, return_exceptions=True)
         for child in self.children:
@@ -610,18 +615,18 @@
         self.requested.set()
 
 
-async def _run_until_stopped(work: Coroutine[Any, Any, None], play: Play, stop: StopRequest) -> None:
+async def _run_until_stopped(work: Coroutine[Any, Any, None], play: Play, stop_request: StopRequest) -> None:
     """Run work to its end. Raises PlayFailed if the play fails or a stop is requested before."""
     task = asyncio.ensure_future(work)
-    stop_wait = asyncio.ensure_future(stop.requested.wait())
+    stop_wait = asyncio.ensure_future(stop_request.requested.wait())
     waits: list[asyncio.Future[Any]] = [task, stop_wait, play.failure]
     await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
     stop_wait.cancel()
-    if play.failure.done() or stop.requested.is_set():
+    if play.failure.done() or stop_request.requested.is_set():
         task.cancel()
         with contextlib.suppress(asyncio.CancelledError, TimeoutError, PlayFailed, OSError):
             await task
-        raise PlayFailed("interrupted" if stop.requested.is_set() else play.failure.result())
+        raise PlayFailed("interrupted" if stop_request.requested.is_set() else play.failure.result())
     try:
         await task
     except TimeoutError:
@@ -632,16 +637,16 @@
         ) from None
 
 
-async def _play_once(play: Play, stop: StopRequest) -> str:
+async def _play_once(play: Play, stop_request: StopRequest) -> str:
     """Play on the chosen addresses. Returns why the play was aborted, or an empty string."""
-    stop.play = play
+    stop_request.play = play
     try:
         if play.experiment.mode == "module":
-            await _run_until_stopped(play.measure_module(), play, stop)
+            await _run_until_stopped(play.measure_module(), play, stop_request)
         else:
             play.options.progress("starting", 0.0, play.experiment.settle)
-            await _run_until_stopped(play.start(), play, stop)
-            await _run_until_stopped(play.schedule(), play, stop)
+            await _run_until_stopped(play.start(), play, stop_request)
+            await _run_until_stopped(play.schedule(), play, stop_request)
     except (PlayFailed, OSError) as e:
         return str(e) or type(e).__name__
     finally:
@@ -650,24 +655,24 @@
 
 
 async def _play(experiment: Experiment, seed: int, options: Options) -> FinishedPlay:
-    stop = StopRequest()
+    stop_request = StopRequest()
     loop = asyncio.get_running_loop()
     for number in (signal.SIGINT, signal.SIGTERM):
-        loop.add_signal_handler(number, stop)
+        loop.add_signal_handler(number, stop_request)
     commit, dirty = git_commit()
     began = datetime.now(UTC).isoformat(timespec="seconds")
     notes: list[str] = []
     if not options.router_command and experiment.mode == "live" and experiment.fleet.real:
-        options.router_command, notes = await asyncio.to_thread(router_command)
+        options.router_command, notes = await asyncio.to_thread(prepare_router_command)
     raise_descriptor_limit()
     for attempt in range(1, MAX_STARTS + 1):
         with tempfile.TemporaryDirectory(prefix="fleetlab-") as directory:
             addresses, lock = choose_addresses()
             with lock:
                 play = Play(experiment, seed, options, Path(directory), addresses)
-                cause = await _play_once(play, stop)
+                cause = await _play_once(play, stop_request)
                 address_taken = any("address already in use" in c.log_tail().lower() for c in play.children)
-        if cause and address_taken and not stop.requested.is_set() and attempt < MAX_STARTS:
+        if cause and address_taken and not stop_request.requested.is_set() and attempt < MAX_STARTS:
             notes.append(f"started again on other addresses: {cause}")
             continue
         break
@@ -690,14 +695,14 @@
         notes=notes,
         broken_off=bool(cause),
     )
-    return FinishedPlay(result, stop.requested.is_set())
+    return FinishedPlay(result, stop_request.requested.is_set())
 
 
 def play(experiment: Experiment, seed: int, options: Options | None = None) -> FinishedPlay:
     """Play an experiment and stop all that was started. Raises PlayRefused before anything starts.
 
-    A play that fails or is interrupted still returns what was measured, with `broken_off` and the cause as a
-    note.
+    A play that fails or is interrupted still returns its partial metrics, with `broken_off` set and the cause
+    as a note.
     """
     if experiment.mode == "model":
         raise ExperimentError("mode: expected 'live' or 'module'; a 'model' is not played by processes")
@@ -715,5 +720,5 @@
     "current_python_command",
     "estimate_resources",
     "play",
-    "router_command",
+    "prepare_router_command",
 ]
--- a/fleetlab/standins/discovery.py
+++ b/fleetlab/standins/discovery.py
@@ -29,7 +29,7 @@
     Meter,
     TimedAction,
     host_port,
-    mean_with_range,
+    mean_and_range,
     percentiles,
     reset_connection,
     run_schedule,
@@ -88,7 +88,7 @@
         self.encoded_answers.clear()
 
     def has_changes(self, after: int) -> bool:
-        """Whether the current version differs from the one that a watch waits on."""
+        """Return whether the current version differs from the one that a watch has."""
         return after != self.index
 
     def body(self, after: int | None) -> tuple[bytes, int]:
@@ -227,7 +227,7 @@
         self.bytes_out = [0] * count
         self.propagation_times = array("d")  # seconds from publication until written to a router
         self.missed_updates = 0
-        self.schedule_start = 0.0
+        self.unix_start = 0.0  # of the schedule, Unix time
         self.outages: dict[int, list[RouterOutage]] = {}
         self.meter.gauges["calls.waiting"] = lambda: float(len(self.queue))
 
@@ -303,11 +303,11 @@
             if begins >= overdue:
                 self.fail(connection)
                 continue
-            lines = 0
+            entry_count = 0
             if connection.after is None or self.versions.has_changes(connection.after):
-                lines = self.versions.body(connection.after)[1]
-            self.busy_until = begins + self.capacity.call_ms / 1e3 + lines * self.capacity.line_us / 1e6
-            # a call that times out in service has used its service time all the same
+                entry_count = self.versions.body(connection.after)[1]
+            self.busy_until = begins + self.capacity.call_ms / 1e3 + entry_count * self.capacity.line_us / 1e6
+            # a call that times out during its service has occupied the server all the same
             done = self.answer if self.busy_until <= overdue else self.fail
             self.loop.call_at(min(self.busy_until, overdue), done, connection)
 
@@ -350,11 +350,9 @@
                 self.propagation_times.append(now - published_at)
 
     def was_down(self, router: int, start: float, end: float) -> bool:
-        """Whether a router had an outage between two Unix times."""
+        """Return whether a router had an outage between two Unix times."""
         own_outages = self.outages.get(router, ())
-        return any(
-            self.schedule_start + o.start <= end and start <= self.schedule_start + o.end for o in own_outages
-        )
+        return any(self.unix_start + o.start <= end and start <= self.unix_start + o.end for o in own_outages)
 
     def publish(self, change: ListChange) -> None:
         """Add the next version of the list and send it to all waiting watches."""
@@ -364,7 +362,7 @@
 
     def scheduled_actions(self, start: float) -> list[TimedAction]:
         """Return the changes and outages of the schedule, and reset the counters that exclude start-up."""
-        self.schedule_start = start
+        self.unix_start = start
         plan = msgspec.structs.replace(self.plan, schedule_start=start)
         for outage in router_outages(plan):
             self.outages.setdefault(outage.router, []).append(outage)
@@ -415,22 +413,24 @@
         real = self.plan.experiment.fleet.real
         for name, counted in (("in", self.bytes_in), ("out", self.bytes_out)):
             rates = [n / elapsed_s for n in counted]
-            metrics[f"bytes.{name}.discovery"] = mean_with_range(rates, "B/s")
-            metrics[f"bytes.{name}.discovery.real"] = mean_with_range(rates[:real], "B/s")
-            metrics[f"bytes.{name}.discovery.hollow"] = mean_with_range(rates[real:], "B/s")
+            metrics[f"bytes.{name}.discovery"] = mean_and_range(rates, "B/s")
+            metrics[f"bytes.{name}.discovery.real"] = mean_and_range(rates[:real], "B/s")
+            metrics[f"bytes.{name}.discovery.hollow"] = mean_and_range(rates[real:], "B/s")
         metrics |= percentiles("force", self.propagation_times, (50, 99))
         return Role(1, metrics, dict(meter.per_second))
 
 
 async def run(
-    plan: Plan, ready: Callable[[], None], began: Awaitable[float], ended: asyncio.Event
+    plan: Plan, ready: Callable[[], None], schedule_start: Awaitable[float], ended: asyncio.Event
 ) -> dict[str, Role]:
     """Run discovery until the schedule is over or `ended` is set, and return the role `discovery`."""
     server = DiscoveryServer(plan)
     await server.open()
     ready()
     try:
-        await run_schedule(plan, began, ended, server.meter, server.scheduled_actions, finish=server.finish)
+        await run_schedule(
+            plan, schedule_start, ended, server.meter, server.scheduled_actions, finish=server.finish
+        )
     finally:
         server.close()
     return {"discovery": server.role} if server.meter.elapsed_s else {}
