--- a/tests/test_lab_standins.py
+++ b/tests/test_lab_standins.py
@@ -426,8 +426,8 @@
                     plan_addresses.peer_listen(n),
                     seen,
                     plan_addresses.peers_all(),
-                    lambda data, n=n: heard.put_nowait((n, data)),
-                )  # type: ignore[misc]
+                    lambda data, n=n: heard.put_nowait((n, data)),  # type: ignore[misc]
+                )
                 for n in range(4)
             ]
             for peer in peers:
