--- a/tests/test_main.py
+++ b/tests/test_main.py
@@ -18,7 +18,7 @@
 from brackenwalk.net.pool import parse_address
 from tests.loopback import HIT, TIMEOUT_S, Link, ScriptedServer, command, format_address, http, read, run
 from tests.test_net_discovery import ENTRY, message
-from tests.test_wirehost import SETTINGS
+from tests.test_wirehost import SETTINGS_JSON
 
 KNOWN = {"index": 41, "snapshot": True, "endpoints": [ENTRY]}
 VALID_CONFIG: dict[str, Any] = {
@@ -28,7 +28,7 @@
     "seed": "8c1f30d27a5be964",
     "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
     "known": KNOWN,
-    "settings": SETTINGS,
+    "settings": SETTINGS_JSON,
 }
 
 
@@ -62,8 +62,8 @@
         ({"peer_listen": "127.0.0.1:7946", "peers": ["127.0.0.1:1", 7]}, "peers[1]"),
         ({"peer_listen": "127.0.0.1:7946", "peers": []}, "peers_all"),
         ({"settings": None}, "conf"),
-        ({"settings": {**SETTINGS, "classes": []}}, "classes"),
-        ({"settings": {**SETTINGS, "limits": {"dialTimeout": "x"}}}, "limits.dialTimeout"),
+        ({"settings": {**SETTINGS_JSON, "classes": []}}, "classes"),
+        ({"settings": {**SETTINGS_JSON, "limits": {"dialTimeout": "x"}}}, "limits.dialTimeout"),
     ],
 )
 def test_invalid_configuration_exits_with_one_line(
@@ -150,7 +150,7 @@
         async with ScriptedServer() as cache, ScriptedServer() as discovery, ScriptedServer() as moved:
             server_entry = {**ENTRY, "address": cache.address, "type": "std", "since_ms": 0}
             known = {"index": 1, "snapshot": True, "endpoints": [server_entry]}
-            settings = {**SETTINGS, "membershipMode": mode}
+            settings = {**SETTINGS_JSON, "membershipMode": mode}
             config = {
                 **VALID_CONFIG,
                 "settings": settings,
@@ -197,9 +197,9 @@
     async def scenario() -> None:
         async with ScriptedServer() as cache, ScriptedServer() as discovery:
             server_entry = {**ENTRY, "address": cache.address, "type": "std", "since_ms": 0}
-            classes = [{**SETTINGS["classes"][0], "giveUp": 0.3}, *SETTINGS["classes"][1:]]
+            classes = [{**SETTINGS_JSON["classes"][0], "giveUp": 0.3}, *SETTINGS_JSON["classes"][1:]]
             config = {**VALID_CONFIG, "listen": "127.0.0.1:0", "discovery": discovery.address}
-            config["settings"] = {**SETTINGS, "classes": [{**c, "giveUp": 0.3} for c in classes]}
+            config["settings"] = {**SETTINGS_JSON, "classes": [{**c, "giveUp": 0.3} for c in classes]}
             config["known"] = {"index": 1, "snapshot": True, "endpoints": [server_entry]}
             path = tmp_path / "config.json"
             process = await launch(path, config)
@@ -234,7 +234,11 @@
             known = {"index": 1, "snapshot": True, "endpoints": server_entries}
             peers = ["127.0.0.1:0", *(f"127.1.{i // 256}.{i % 256}:7946" for i in range(1023))]
             peer_config = {"peer_listen": peers[0], "peers": peers, "peers_all": "127.1.255.255:7946"}
-            settings = {**SETTINGS, "siblings": 1024, "limits": {**SETTINGS["limits"], "peers": True}}
+            settings = {
+                **SETTINGS_JSON,
+                "siblings": 1024,
+                "limits": {**SETTINGS_JSON["limits"], "peers": True},
+            }
             config = {**VALID_CONFIG, **peer_config, "settings": settings, "known": known}
             config |= {"listen": "127.0.0.1:0", "discovery": discovery.address}
             path = tmp_path / "config.json"
