--- a/tests/test_ring.py
+++ b/tests/test_ring.py
@@ -241,7 +241,7 @@
         s.in_flight, s.unanswered_since = 1, d.now - 5.0
     looked: list[object] = []
     eligible = d.router._eligible
-    d.router._eligible = lambda held, server: looked.append(server) or eligible(held, server)  # type: ignore[method-assign,func-returns-value]
+    d.router._eligible = lambda req, server: looked.append(server) or eligible(req, server)  # type: ignore[method-assign,func-returns-value]
     assert d.request("r", key="k") is None and d.ended["r"] == "refused"
     assert 0 < len(looked) <= policy.MAX_WALK_NODES
 
