--- a/tests/test_net_peers.py
+++ b/tests/test_net_peers.py
@@ -62,7 +62,7 @@
         async with RouterHarness() as router:
             told = Demand()
             told.add(5)
-            router.host.peer_heard(told.message([], now=router.host.clock.now()))
+            router.host.peer_heard(told.next_message([], now=router.host.clock.now()))
             router.host.peer_heard(b"garbled")
             assert router.host.router.demand.history.counts == {5: 1}
             sent: list[bytes] = []
