--- a/brackenwalk/demand.py
+++ b/brackenwalk/demand.py
@@ -25,7 +25,7 @@
 KEY_ENTRY = struct.Struct(">IB")  # a key's hash and its number of requests
 MAX_COUNT = 255
 MAX_DEFERRED_KEYS = 1024  # sorted by count; keys beyond that are dropped
-MAX_KEYS = 30  # with MAX_SERVERS this fills the 256 bytes that a datagram may have
+MAX_KEYS = 30  # with MAX_SERVERS this fits into the 256 bytes that a datagram may have
 
 S = TypeVar("S")
 
