--- a/brackenwalk/demand.py
+++ b/brackenwalk/demand.py
@@ -27,7 +27,7 @@
 KEY_ENTRY = struct.Struct(">IB")  # a key's hash and its number of requests
 MAX_COUNT = 255  # of requests in a key entry
 MAX_DEFERRED_KEYS = 1024  # the most requested ones; the others are dropped
-MAX_KEYS = 30  # in a message; with MAX_SERVERS they fill the 256 bytes that it may have
+MAX_KEYS = 30  # in a message; with MAX_SERVERS they fit into the 256 bytes that it may have
 
 S = TypeVar("S")
 
