--- a/fleetlab/model.py
+++ b/fleetlab/model.py
@@ -77,14 +77,14 @@
     def apply_changes(self: ring.Ring[Any]) -> None:
         if not self.previous_nodes:
             return
-        key = frozenset((owner.name, len(points)) for owner, points in self.nodes_by_owner.items())
+        key = frozenset((owner.name_hash, len(points)) for owner, points in self.nodes_by_owner.items())
         if key not in cached:
             original_settle(self)
-            cached[key] = self.positions, [owner.name for owner in self.owners], self.ranks
+            cached[key] = self.positions, [owner.name_hash for owner in self.owners], self.ranks
             while len(cached) > max_lists:
                 del cached[next(iter(cached))]
             return
-        owners = {owner.name: owner for owner in self.nodes_by_owner}
+        owners = {owner.name_hash: owner for owner in self.nodes_by_owner}
         self.positions, names, self.ranks = cached[key]
         self.owners = list(map(owners.__getitem__, names))
         self.previous_nodes.clear()
--- a/tests/test_main.py
+++ b/tests/test_main.py
@@ -18,7 +18,7 @@
 from brackenwalk.net.pool import parse_address
 from tests.loopback import HIT, TIMEOUT_S, Link, ScriptedServer, command, format_address, http, read, run
 from tests.test_net_discovery import ENTRY, message
-from tests.test_wirehost import CONF
+from tests.test_wirehost import SETTINGS_TABLE
 
 KNOWN = {"index": 41, "snapshot": True, "endpoints": [ENTRY]}
 VALID_CONFIG: dict[str, Any] = {
@@ -28,7 +28,7 @@
     "seed": "8c1f30d27a5be964",
     "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
     "known": KNOWN,
-    "settings": CONF,
+    "settings": SETTINGS_TABLE,
 }
 
 
@@ -62,8 +62,8 @@
         ({"peer_listen": "127.0.0.1:7946", "peers": ["127.0.0.1:1", 7]}, "peers[1]"),
         ({"peer_listen": "127.0.0.1:7946", "peers": []}, "peers_all"),
         ({"settings": None}, "conf"),
-        ({"settings": {**CONF, "classes": []}}, "classes"),
-        ({"settings": {**CONF, "limits": {"dialTimeout": "x"}}}, "limits.dialTimeout"),
+        ({"settings": {**SETTINGS_TABLE, "classes": []}}, "classes"),
+        ({"settings": {**SETTINGS_TABLE, "limits": {"dialTimeout": "x"}}}, "limits.dialTimeout"),
     ],
 )
 def test_invalid_configuration_exits_with_one_line(
@@ -150,7 +150,7 @@
         async with ScriptedServer() as cache, ScriptedServer() as discovery, ScriptedServer() as moved:
             line = {**ENTRY, "address": cache.address, "type": "std", "since_ms": 0}
             known = {"index": 1, "snapshot": True, "endpoints": [line]}
-            settings = {**CONF, "membershipMode": mode}
+            settings = {**SETTINGS_TABLE, "membershipMode": mode}
             config = {
                 **VALID_CONFIG,
                 "settings": settings,
@@ -197,9 +197,9 @@
     async def scenario() -> None:
         async with ScriptedServer() as cache, ScriptedServer() as discovery:
             line = {**ENTRY, "address": cache.address, "type": "std", "since_ms": 0}
-            classes = [{**CONF["classes"][0], "giveUp": 0.3}, *CONF["classes"][1:]]
+            classes = [{**SETTINGS_TABLE["classes"][0], "giveUp": 0.3}, *SETTINGS_TABLE["classes"][1:]]
             config = {**VALID_CONFIG, "listen": "127.0.0.1:0", "discovery": discovery.address}
-            config["settings"] = {**CONF, "classes": [{**c, "giveUp": 0.3} for c in classes]}
+            config["settings"] = {**SETTINGS_TABLE, "classes": [{**c, "giveUp": 0.3} for c in classes]}
             config["known"] = {"index": 1, "snapshot": True, "endpoints": [line]}
             path = tmp_path / "config.json"
             process = await launch(path, config)
@@ -234,7 +234,11 @@
             known = {"index": 1, "snapshot": True, "endpoints": lines}
             peers = ["127.0.0.1:0", *(f"127.1.{i // 256}.{i % 256}:7946" for i in range(1023))]
             peer_config = {"peer_listen": peers[0], "peers": peers, "peers_all": "127.1.255.255:7946"}
-            settings = {**CONF, "siblings": 1024, "limits": {**CONF["limits"], "peers": True}}
+            settings = {
+                **SETTINGS_TABLE,
+                "siblings": 1024,
+                "limits": {**SETTINGS_TABLE["limits"], "peers": True},
+            }
             config = {**VALID_CONFIG, **peer_config, "settings": settings, "known": known}
             config |= {"listen": "127.0.0.1:0", "discovery": discovery.address}
             path = tmp_path / "config.json"
--- a/tests/test_terms_clients.py
+++ b/tests/test_terms_clients.py
@@ -36,7 +36,7 @@
 )
 from tests.test_main import VALID_CONFIG, launch, listening_address
 from tests.test_net_discovery import ENTRY
-from tests.test_wirehost import CONF
+from tests.test_wirehost import SETTINGS_TABLE
 
 LONG_DEADLINE = "c=read,t=x,d=60000"
 NEVER_S = 3600.0
@@ -450,8 +450,8 @@
     config = {**VALID_CONFIG, "listen": "127.0.0.1:0", "discovery": discovery}
     config["known"] = {"index": 1, "snapshot": True, "endpoints": lines}
     config["limits"] = {**VALID_CONFIG["limits"], "sockets": MAX_SOCKETS}
-    classes = [{**c, "giveUp": 1.0} for c in CONF["classes"]]
-    config["settings"] = {**CONF, "membershipMode": "automatic", "classes": classes}
+    classes = [{**c, "giveUp": 1.0} for c in SETTINGS_TABLE["classes"]]
+    config["settings"] = {**SETTINGS_TABLE, "membershipMode": "automatic", "classes": classes}
     path = tmp_path / "config.json"
     process = await launch(path, config)
     try:
--- a/tests/test_terms_discovery.py
+++ b/tests/test_terms_discovery.py
@@ -22,7 +22,7 @@
 from tests.loopback import Link, ScriptedServer, command, format_address, http, run
 from tests.test_main import VALID_CONFIG, connect_ready, launch, listening_address
 from tests.test_net_discovery import ENTRY, WatchRecorder, call, message
-from tests.test_wirehost import CONF
+from tests.test_wirehost import SETTINGS_TABLE
 
 PROPAGATION_S = 6.0  # after which a router counts as knowing a change, by the requirements
 DRAIN_GRACE_S = 0.5  # the shortest time for a drain that a router knows of
@@ -396,7 +396,7 @@
 ) -> AsyncIterator[asyncio.subprocess.Process]:
     """Run the program in a process of its own."""
     config = {**VALID_CONFIG, "listen": "127.0.0.1:0", "discovery": discovery, "known": known}
-    config["settings"] = {**CONF, **changes}
+    config["settings"] = {**SETTINGS_TABLE, **changes}
     process = await launch(path, config)
     try:
         yield process
--- a/tests/test_wirehost.py
+++ b/tests/test_wirehost.py
@@ -18,7 +18,7 @@
 from brackenwalk.wirehost import SimulatorHost, WireError
 
 ROOT = Path(__file__).parent.parent
-SETTINGS: dict[str, Any] = {
+SETTINGS_TABLE: dict[str, Any] = {
     "classes": [
         {"name": "read", "aim": 0.5, "giveUp": 2.0, "effect": "free", "value": 1.0},
         {"name": "pay", "aim": 1.0, "giveUp": 3.0, "effect": "guarded", "group": "zone", "repeatWindow": 5.0},
@@ -55,7 +55,7 @@
     commands = send_events(
         host,
         1.0,
-        {"op": "Born", "initSeed": 5, "conf": {**SETTINGS, **changes}},
+        {"op": "Born", "initSeed": 5, "conf": {**SETTINGS_TABLE, **changes}},
         {"op": "Membership", "scope": "SAVED", "generation": 1, "lines": lines},
     )
     if not changes:
@@ -80,7 +80,7 @@
 
 
 def test_settings_are_read() -> None:
-    settings = read_settings(SETTINGS)
+    settings = read_settings(SETTINGS_TABLE)
     pay = settings.classes["pay"]
     assert (pay.retry_safety, pay.repeat_group, pay.repeat_window) == (
         api.RetrySafety.KEYED,
@@ -127,7 +127,7 @@
     change: dict[str, Any], field: str, capsys: pytest.CaptureFixture[str]
 ) -> None:
     (fault,) = send_events(
-        SimulatorHost(), 1.0, {"op": "Born", "initSeed": 1, "conf": {**SETTINGS, **change}}
+        SimulatorHost(), 1.0, {"op": "Born", "initSeed": 1, "conf": {**SETTINGS_TABLE, **change}}
     )
     assert fault["op"] == "InternalError" and field in fault["line"]
     assert field in capsys.readouterr().err
@@ -236,7 +236,7 @@
 
 def test_same_actions_under_any_hash_seed() -> None:
     lines = [list_line(f"s{i}") for i in range(6)] + [list_line("o", "store")]
-    news = [{"op": "Born", "initSeed": 5, "conf": SETTINGS}]
+    news = [{"op": "Born", "initSeed": 5, "conf": SETTINGS_TABLE}]
     news += [{"op": "Membership", "scope": "SAVED", "generation": 1, "lines": lines}]
     news += [request(f"{i:x}", partitionKey=f"k{i % 7}") for i in range(60)]
     news += [
