--- a/fleetlab/capacity.py
+++ b/fleetlab/capacity.py
@@ -179,9 +179,9 @@
         """Return the cell as the page shows it."""
         details = [] if self.formula and not self.sources else [f"{fmt(self.low)} to {fmt(self.high)}"]
         details += [", ".join(self.marks)] if self.marks else []
-        few = "†" if any(f.has_few_plays for f in self.sources) else ""
+        few_mark = "†" if any(f.has_few_plays for f in self.sources) else ""
         notes = f" ({'; '.join(details)})" if details else ""
-        return f"{'at least ' if self.partial else ''}{fmt(self.value)}{few}{notes}"
+        return f"{'at least ' if self.partial else ''}{fmt(self.value)}{few_mark}{notes}"
 
 
 CellFunction = Callable[[Sequence[Fit], Size], TableCell | None]
@@ -806,9 +806,9 @@
 
 def _format_mean_and_range(values: Sequence[float]) -> str:
     """Format the mean of plays with their range."""
-    few = "" if len(values) >= MIN_PLAYS else "†"
+    few_mark = "" if len(values) >= MIN_PLAYS else "†"
     mean = math.fsum(values) / len(values)
-    return f"{fmt(mean)}{few} ({fmt(min(values))} to {fmt(max(values))})"
+    return f"{fmt(mean)}{few_mark} ({fmt(min(values))} to {fmt(max(values))})"
 
 
 def slope_text(cells: Iterable[TableCell | None]) -> str:
@@ -896,13 +896,13 @@
                 )
                 users_cell = cells[-1]
                 text = "" if users_cell is None else users_cell.text()
-                whose = f", {row.limit_source}" if row.limit_source else ""
+                limit_text = f", {row.limit_source}" if row.limit_source else ""
                 runs = (
                     "a formula" if users_cell is not None and not users_cell.sources else self.runs_of(cells)
                 )
                 lines.append(
                     f"{len(lines) + 1}. **{fmt(ratio)}** {role}: {row.kind}: {row.label}: {text} against "
-                    f"{fmt(row.limit)}{whose}{f' ({others})' if others else ''}; {runs}; {row.mechanism}"
+                    f"{fmt(row.limit)}{limit_text}{f' ({others})' if others else ''}; {runs}; {row.mechanism}"
                 )
         return "\n".join(lines) or "None of those with a figure."
 
@@ -999,10 +999,11 @@
                 ]
                 location = f"{fmt(point.axis('routers'))} routers, {fmt(point.axis('servers'))} servers"
                 fault_kinds = ", ".join(sorted(set(point.faults())))
-                few = "†" if sum(not p.broken_off for p in point.plays) < 3 else ""
+                few_mark = "†" if sum(not p.broken_off for p in point.plays) < 3 else ""
                 results = "; ".join(entries) or NOT_MEASURED
                 lines.append(
-                    f"- played ({self.run_refs[point.experiment]}{few}): {fault_kinds}; {location}: {results}"
+                    f"- played ({self.run_refs[point.experiment]}{few_mark}): {fault_kinds}; "
+                    f"{location}: {results}"
                 )
         return "\n".join(lines) or f"- played: {NOT_MEASURED}"
 
@@ -1010,16 +1011,16 @@
         """Return the values for the template's text, computed for the users' size."""
         size, limits, places = self.sizes[-1], self.fleet_spec.limits, self.fleet_spec.places
         call_s = float(self.fleet_spec.deploy["call_ms"]) / 1000
-        purges, outage_s = limits["purges_rate"], limits["region_cut"]
+        purge_rate, outage_s = limits["purges_rate"], limits["region_cut"]
         changes = limits["changes_day"]
         entry, full_list = entry_bytes(), list_bytes(size.servers)
-        replaced = limits["replaced_day"] + limits["fail_day"]
-        restarted = replaced * size.routers / (size.routers + size.servers)
-        renewed = 3 * (replaced - restarted)
-        cut, missed = size.routers / places["regions"], changes * outage_s / DAY_S
-        lost = size.routers / places["zones"]
-        change = ("module", "cpu.us.change"), ("hollow", "cpu.us.change")
-        peer = ("hollow", "cpu.us.peer"), ("module", "cpu.us.peer")
+        replaced_per_day = limits["replaced_day"] + limits["fail_day"]
+        restarted_routers = replaced_per_day * size.routers / (size.routers + size.servers)
+        replacement_changes = 3 * (replaced_per_day - restarted_routers)
+        cut_off_routers, missed_changes = size.routers / places["regions"], changes * outage_s / DAY_S
+        lost_routers = size.routers / places["zones"]
+        change_cost = ("module", "cpu.us.change"), ("hollow", "cpu.us.change")
+        peer_cost = ("hollow", "cpu.us.peer"), ("module", "cpu.us.peer")
         values = {
             "routers": size.routers,
             "servers": size.servers,
@@ -1033,15 +1034,15 @@
             "tellers": MAX_SENDERS,
             "headers": UDP_OVERHEAD_BYTES,
             "silence": SILENT_AIMS,
-            "purges_rate": purges,
+            "purges_rate": purge_rate,
             "purge_within": limits["purge_within"],
-            "purge_servers": purges * size.servers,
-            "purge_routers": purges * size.routers,
-            "purge_machine": purges * size.routers / limits["control_machines"],
+            "purge_servers": purge_rate * size.servers,
+            "purge_routers": purge_rate * size.routers,
+            "purge_machine": purge_rate * size.routers / limits["control_machines"],
             "control_bytes": limits["control_bytes"],
-            "purge_bytes": limits["control_bytes"] / purges,
+            "purge_bytes": limits["control_bytes"] / purge_rate,
             "control_share": limits["control_share"],
-            "purge_us": limits["control_share"] * 1e6 / purges,
+            "purge_us": limits["control_share"] * 1e6 / purge_rate,
             "all_calls": size.routers * call_s,
             "changes_day": changes,
             "change_within": limits["change_within"],
@@ -1052,32 +1053,32 @@
             "answers_bytes": size.routers * entry,
             "fail_day": limits["fail_day"],
             "replaced_day": limits["replaced_day"],
-            "both_day": replaced,
-            "fail_pause": DAY_S / replaced,
-            "router_restarts": restarted,
-            "server_restarts": replaced - restarted,
-            "renewed": renewed,
-            "renewed_answers": renewed * size.routers,
+            "both_day": replaced_per_day,
+            "fail_pause": DAY_S / replaced_per_day,
+            "router_restarts": restarted_routers,
+            "server_restarts": replaced_per_day - restarted_routers,
+            "renewed": replacement_changes,
+            "renewed_answers": replacement_changes * size.routers,
             "zone_servers": size.servers / places["zones"],
-            "zone_routers": lost,
-            "zone_calls": lost * call_s,
-            "cut_routers": cut,
+            "zone_routers": lost_routers,
+            "zone_calls": lost_routers * call_s,
+            "cut_routers": cut_off_routers,
             "cut_servers": size.servers / places["regions"],
             "cut_zones": places["zones"] / places["regions"],
             "gone": outage_s,
-            "missed": missed,
-            "missed_bytes": missed * entry,
+            "missed": missed_changes,
+            "missed_bytes": missed_changes * entry,
             "whole": full_list,
-            "cut_bytes": cut * full_list,
-            "cut_calls": cut * call_s,
+            "cut_bytes": cut_off_routers * full_list,
+            "cut_calls": cut_off_routers * call_s,
             "whole_seconds": full_list / limits["control_bytes"],
-            "purges_missed": purges * outage_s,
+            "purges_missed": purge_rate * outage_s,
         }
         phrases = {
-            "purge_cost": self.product_text(purges / 1e6, *peer, unit="of a core"),
-            "change_cost": self.product_text(changes / DAY_S / 1e6, *change, unit="of a core"),
+            "purge_cost": self.product_text(purge_rate / 1e6, *peer_cost, unit="of a core"),
+            "change_cost": self.product_text(changes / DAY_S / 1e6, *change_cost, unit="of a core"),
             "force_max": self.figure_text(*propagation_metrics("max"), unit="s"),
-            "renewed_cost": self.product_text(renewed / 1e6, *change, unit="s a day"),
+            "renewed_cost": self.product_text(replacement_changes / 1e6, *change_cost, unit="s a day"),
             "list_cost": self.figure_text(
                 ("module", "cpu.us.list"), ("hollow", "cpu.us.list"), unit="microseconds"
             ),
@@ -1101,12 +1102,12 @@
         for name, ref in self.run_refs.items():
             points = [p for p in self.points if p.experiment == name]
             plays = [q for p in points for q in p.plays]
-            off = sum(q.broken_off for q in plays)
+            left_out = sum(q.broken_off for q in plays)
             commits = sorted({q.commit[:12] + ("+" if q.dirty else "") for q in plays})
             machines = sorted({f"{q.machine.processor}, {q.machine.cores} cores" for q in plays})
             columns = [
                 f"{name} ({', '.join(sorted({p.mode for p in points}))})",
-                f"{len(points)}{f', {off} plays left out' if off else ''}",
+                f"{len(points)}{f', {left_out} plays left out' if left_out else ''}",
                 ", ".join(str(s) for s in sorted({q.seed for q in plays})),
                 ", ".join(commits),
                 "; ".join(machines),
--- a/fleetlab/model.py
+++ b/fleetlab/model.py
@@ -99,8 +99,8 @@
     `siblings` is the number of routers in the routers' settings. Where it is larger than `router_count`, each
     simulated router stands for several, and fleet-wide counts are scaled up accordingly. At most
     `max_listeners` routers receive peer messages, evenly spaced, as the cost of all receiving grows with the
-    square of the fleet's size; None means all. With `run_timers`, timers fire and cancels are carried out. The
-    attribute `answer_status` decides the outcome of an attempt at a server.
+    square of the fleet's size; None means all. With `run_timers`, timers fire and cancels are carried out.
+    The attribute `answer_status` decides the outcome of an attempt at a server.
     """
 
     def __init__(
--- a/fleetlab/report.py
+++ b/fleetlab/report.py
@@ -136,9 +136,9 @@
         complete = [q for q in p.plays if not q.broken_off]
         seeds = ", ".join(f"{q.seed}{' (broken off)' if q.broken_off else ''}" for q in p.plays)
         notes = "; ".join(f"{q.seed}: {n}" for q in p.plays for n in q.notes)
-        few = "†" if len(complete) < MIN_PLAYS else ""
+        few_mark = "†" if len(complete) < MIN_PLAYS else ""
         columns = [p.experiment, fmt(p.axis("routers")), fmt(p.axis("servers")), ", ".join(p.faults())]
-        lines.append("| " + " | ".join([*columns, seeds + few, notes]) + " |")
+        lines.append("| " + " | ".join([*columns, seeds + few_mark, notes]) + " |")
     if plots:
         lines += ["", "# Plots", "", *(f"![{name}]({name})" for name in plots)]
     return "\n".join(lines) + "\n"
