--- a/fleetlab/hollow.py
+++ b/fleetlab/hollow.py
@@ -173,7 +173,7 @@
             super().post(event)
 
     def kill(self) -> int:
-        """Abandon all attempts at once, and return the number of requests left without an answer."""
+        """Abandon all attempts at once, and return the number of requests left without a response."""
         self.killed = True
         for tracked in self.requests.values():
             for attempt in tracked.attempts.values():
@@ -222,7 +222,9 @@
             self.dropped_connections.discard(address)
             typical = self.instance.process.plan.experiment.requests.latency_ms / 1000
             latency = typical * self.instance.random.uniform(0.5, 1.5)
-            exchange.timer = asyncio.get_running_loop().call_later(latency, self._answer, address, exchange)
+            exchange.timer = asyncio.get_running_loop().call_later(
+                latency, self._finish_attempt, address, exchange
+            )
         elif state == "lost" and address in self.dropped_connections:
             # the kept connection was closed, and no new one can be established
             loop = asyncio.get_running_loop()
@@ -231,7 +233,7 @@
             self.dropped_connections.add(address)
         return exchange
 
-    def _answer(self, address: str, exchange: ModelExchange) -> None:
+    def _finish_attempt(self, address: str, exchange: ModelExchange) -> None:
         if self.instance.server_state(address) != "up":
             return  # the attempt ends when the host's timer for it fires
         hit = exchange.command.write or self.instance.draw_hit(address)
@@ -396,10 +398,10 @@
             deadline,
             VALUE if write else None,
         )
-        self.host.submit(command, self._on_answer)
+        self.host.submit(command, self._on_response)
 
-    def _on_answer(self, answer: bytes) -> None:
-        self.meter.counts["served" if answer.startswith(b"$") else "unserved"] += 1
+    def _on_response(self, response: bytes) -> None:
+        self.meter.counts["served" if response.startswith(b"$") else "unserved"] += 1
 
     # Discovery and peers
 
--- a/fleetlab/model.py
+++ b/fleetlab/model.py
@@ -166,7 +166,7 @@
         self.dispatch(number, api.ServerList(api.ListKind.SAVED, tuple(server_list)))
 
     def fail(self, servers: Iterable[str], routers: Iterable[int] = ()) -> None:
-        """Take servers and routers down: attempts in flight at these servers and later ones get no answer."""
+        """Take servers and routers down: attempts at these servers, in flight or later, get no response."""
         self.lost_servers |= set(servers)
         self.lost_routers |= set(routers)
         self.event_queue = [p for p in self.event_queue if p[2] not in self.lost_routers]
@@ -239,7 +239,7 @@
         if action.server in self.hung_servers:
             status = api.Status.TIMEOUT
         elif action.server in self.lost_servers:
-            # the kept connection gets no answer and is closed; from then on each attempt fails to connect
+            # the kept connection gets no response and is closed; from then on each attempt fails to connect
             first = (number, action.server) not in self.dropped_connections
             self.dropped_connections.add((number, action.server))
             status = api.Status.TIMEOUT if first else api.Status.CONNECT_FAILED
--- a/fleetlab/module_costs.py
+++ b/fleetlab/module_costs.py
@@ -83,20 +83,20 @@
     return read_settings(router_settings(experiment, 0)), [m.entry for m in members]
 
 
-def random_answers(experiment: Experiment, seed: int) -> Callable[[str], api.Status]:
+def random_statuses(experiment: Experiment, seed: int) -> Callable[[str], api.Status]:
     """Return a function that draws the outcome of an attempt: hits and misses by the experiment's shares."""
     rng = random.Random(seed)
     hits = experiment.requests.hits
 
-    def answer(server: str) -> api.Status:
+    def draw_status(server: str) -> api.Status:
         return api.Status.OK if server == ORIGIN or rng.random() < hits else api.Status.MISS
 
-    return answer
+    return draw_status
 
 
 def configure_model(fleet: FleetModel, experiment: Experiment, seed: int) -> list[float]:
     """Set a model's clients and servers to the experiment's values, and return the weights of the keys."""
-    fleet.answer_status = random_answers(experiment, seed)
+    fleet.answer_status = random_statuses(experiment, seed)
     fleet.latency = experiment.requests.latency_ms / 1000
     fleet.write_share = experiment.requests.writes
     fleet.router_weights = [1.0] * len(fleet.routers)
--- a/fleetlab/standins/caches.py
+++ b/fleetlab/standins/caches.py
@@ -49,7 +49,7 @@
 
 
 def make_value(request: bytes, key: bytes) -> bytes:
-    """Return a value that begins with the request id, by which a client sees that it answers its request."""
+    """Return a value that begins with the request id, by which a client detects another request's value."""
     return (request + b" " + key).ljust(VALUE_BYTES, b".")
 
 
@@ -135,13 +135,13 @@
             self.pending_replies.append(reply)
             if error:
                 self.server.cluster.meter.counts["syntax"] += 1
-                self.answer(reply, b"-SYNTAX %b\r\n" % error.encode())
+                self.set_reply(reply, b"-SYNTAX %b\r\n" % error.encode())
                 if isinstance(parts, Exception):
                     self.transport.close()
             else:
-                self.server.handle_command(parts, partial(self.answer, reply))
+                self.server.handle_command(parts, partial(self.set_reply, reply))
 
-    def answer(self, reply: list[bytes], data: bytes) -> None:
+    def set_reply(self, reply: list[bytes], data: bytes) -> None:
         """Fill in the reply to a command, and send every reply whose turn it is."""
         reply.append(data)
         self.flush()
@@ -198,21 +198,21 @@
             connection.flush()
             connection.process_commands()
 
-    def handle_command(self, parts: list[bytes], answer: Callable[[bytes], None]) -> None:
-        """Start a well-formed command; `answer` takes its reply."""
+    def handle_command(self, parts: list[bytes], respond: Callable[[bytes], None]) -> None:
+        """Start a well-formed command; `respond` sends its reply."""
         verb = parts[0]
         if verb in COMMAND_PARTS:
-            self.handle_request(parts, answer)
+            self.handle_request(parts, respond)
         elif verb.upper() == b"PING":
-            answer(b"+PONG\r\n")
+            respond(b"+PONG\r\n")
         elif verb.upper() in (b"CLIENT", b"SELECT"):
-            answer(b"+OK\r\n")
+            respond(b"+OK\r\n")
         elif verb.upper() == b"INFO":
-            answer(b"-NOPERM no probes\r\n")
+            respond(b"-NOPERM no probes\r\n")
         else:
-            answer(b"-ERR unknown command\r\n")
+            respond(b"-ERR unknown command\r\n")
 
-    def handle_request(self, parts: list[bytes], answer: Callable[[bytes], None]) -> None:
+    def handle_request(self, parts: list[bytes], respond: Callable[[bytes], None]) -> None:
         """Answer a request after a random latency, or refuse it beyond the server's capacity.
 
         Across a partition it is never answered. Whether a read hits is random; a cold server hits less.
@@ -233,7 +233,7 @@
             cluster.loop.time(), capacity
         ):
             counts["busy"] += 1
-            answer(b"-BUSY\r\n")
+            respond(b"-BUSY\r\n")
             return
         hit_factor = 1.0 if started_at is None else min(1.0, (at - started_at) / max(experiment.ramp, 1e-9))
         if parts[0] == b"C.SET":
@@ -246,7 +246,7 @@
         else:
             counts["misses"] += 1
             reply = b"*3\r\n$-1\r\n$4\r\nmiss\r\n$-1\r\n"
-        cluster.loop.call_later(cluster.random_latency_s(), answer, reply)
+        cluster.loop.call_later(cluster.random_latency_s(), respond, reply)
 
     def record_cold_load(self, at: float, capacity: float) -> None:
         """Update the peaks of requests within `fall_window`, also relative to what overloads the server.
--- a/fleetlab/standins/clients.py
+++ b/fleetlab/standins/clients.py
@@ -68,7 +68,8 @@
     def __init__(self, router: RouterEndpoint) -> None:
         self.router = router
         self.reader = hiredis.Reader(notEnoughData=INCOMPLETE)
-        self.first_byte = b""  # type of the answer, because the parser does not distinguish kinds of strings
+        # type of the response, because the parser does not distinguish kinds of strings
+        self.first_byte = b""
         self.pending_reply: asyncio.Future[tuple[bytes, Any] | None] | None = None
         self.is_closed = False
 
@@ -79,7 +80,7 @@
         self.router.connections.add(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Unregister the connection and end a command in flight without an answer."""
+        """Unregister the connection and end a command in flight without a response."""
         self.is_closed = True
         self.router.connections.discard(self)
         if self in self.router.idle:
@@ -88,7 +89,7 @@
             self.pending_reply.set_result(None)
 
     def data_received(self, data: bytes) -> None:
-        """Parse the answer; one that is malformed or belongs to no command aborts the connection."""
+        """Parse the response; one that is malformed or belongs to no command aborts the connection."""
         self.first_byte = self.first_byte or data[:1]
         self.reader.feed(data)
         try:
@@ -105,7 +106,7 @@
         self.pending_reply.set_result((self.first_byte, message))
 
     async def send(self, command: bytes, time_left: float) -> tuple[bytes, Any] | None:
-        """Send a command and return its answer's first byte and the answer; None if the connection ends.
+        """Send a command and return its response's first byte and the response; None if the connection ends.
 
         Raises TimeoutError after `time_left` seconds.
         """
@@ -156,9 +157,9 @@
             if not self.healthy.is_set() and self.clients.loop.time() >= self.checks_paused_until:
                 with suppress(OSError):  # includes TimeoutError
                     connection = await self.dial()
-                    answer = await connection.send(b"*1\r\n$4\r\nPING\r\n", DIAL_TIMEOUT_S)
+                    response = await connection.send(b"*1\r\n$4\r\nPING\r\n", DIAL_TIMEOUT_S)
                     connection.transport.close()
-                    if answer == (b"+", b"PONG"):
+                    if response == (b"+", b"PONG"):
                         self.healthy.set()
                         self.failure_suspected = False
             await asyncio.sleep(HEALTH_CHECK_INTERVAL_S)
@@ -234,13 +235,13 @@
         for _ in range(1 + MAX_RETRIES):
             request.attempt_ids.append(b"%04x%012x" % (router.number, self.rng.getrandbits(48)))
             try:
-                answer = await self.attempt(router, request, deadline)
+                response = await self.attempt(router, request, deadline)
             except TimeoutError:
                 self.meter.counts["timeouts"] += 1
                 break
-            delay_s = self.retry_delay_s(answer)
+            delay_s = self.retry_delay_s(response)
             if delay_s is None:
-                result = self.classify(request, answer)
+                result = self.classify(request, response)
                 break
             self.meter.counts["busy"] += 1
             if self.loop.time() + delay_s >= deadline:
@@ -254,7 +255,7 @@
     ) -> tuple[bytes, Any] | None:
         """Make one attempt; if the router closed a kept connection just before it, send it on a new one.
 
-        An attempt of effect `single_shot` is not sent again. Returns None if there is no answer. Raises
+        An attempt of effect `single_shot` is not sent again. Returns None if there is no response. Raises
         TimeoutError at `deadline`.
         """
         for is_resend in (False, True):
@@ -273,11 +274,11 @@
             if sent_at >= deadline:
                 router.idle.append(connection)
                 raise TimeoutError
-            answer = await connection.send(request.command(deadline - sent_at), deadline - sent_at)
-            if answer is not None:
+            response = await connection.send(request.command(deadline - sent_at), deadline - sent_at)
+            if response is not None:
                 if not connection.is_closed:
                     router.idle.append(connection)
-                return answer
+                return response
             self.meter.counts["resets"] += 1
             close_raced = (
                 is_reused and not connection.first_byte and self.loop.time() - sent_at < CLOSE_RACE_S
@@ -286,22 +287,22 @@
                 return None
         return None
 
-    def retry_delay_s(self, answer: tuple[bytes, Any] | None) -> float | None:
-        """Return the delay before a retry, which a BUSY answer may name; None if the answer is not BUSY."""
-        if answer is None or not isinstance(answer[1], hiredis.ReplyError):
+    def retry_delay_s(self, response: tuple[bytes, Any] | None) -> float | None:
+        """Return the delay before a retry, which BUSY may name; None if the response is not BUSY."""
+        if response is None or not isinstance(response[1], hiredis.ReplyError):
             return None
-        words = str(answer[1]).split()
+        words = str(response[1]).split()
         if words[:1] != ["BUSY"]:
             return None
         delay_s = int(words[1]) / 1000 if len(words) > 1 and words[1].isdigit() else RETRY_DELAY_S
         max_delay_s: float = 2.0  # limits.maxRetryAfter of the settings
         return min(max_delay_s, delay_s)
 
-    def classify(self, request: Request, answer: tuple[bytes, Any] | None) -> str:
-        """Return `served`, `late` or `failed`; an answer that was made for another request is a failure."""
-        if answer is None:
+    def classify(self, request: Request, response: tuple[bytes, Any] | None) -> str:
+        """Return `served`, `late` or `failed`; a response that was made for another request is a failure."""
+        if response is None:
             return "failed"
-        first_byte, value = answer
+        first_byte, value = response
         if first_byte == b"*" and isinstance(value, list) and value:
             value = value[0]
         if first_byte not in (b"$", b"*") or not isinstance(value, bytes):
@@ -323,7 +324,7 @@
         return [(o.start + DEREGISTRATION_S, self.routers[o.router].deregister) for o in restarts]
 
     def role(self) -> Role:
-        """Return the clients' figures, including late answers after the schedule to requests within it."""
+        """Return the clients' figures, including late responses after the schedule to requests within it."""
         meter, counts = self.meter, self.meter.counts
         completed = [counts[name] for name in ("served", "late", "failed")]
         total = int(sum(completed))
--- a/fleetlab/standins/discovery.py
+++ b/fleetlab/standins/discovery.py
@@ -43,7 +43,7 @@
     router_outages,
 )
 
-WATCH_CONTINUE_S = 0.2  # a call within this time of the watch's last answer continues the watch
+WATCH_CONTINUE_S = 0.2  # a call within this time of the watch's last response continues the watch
 LAPSED_WATCH_S = 2.0  # a later call within this time counts in `calls.lapsed`
 MAX_WAIT_S = 60.0
 HISTORY_VERSIONS = 256  # a router that is further behind gets the whole list in place of the changes
@@ -63,7 +63,7 @@
 
 
 class VersionedList:
-    """The server list with its recent versions, and the answers to calls, each encoded only once."""
+    """The server list with its recent versions, and the responses to calls, each encoded only once."""
 
     def __init__(self, plan: Plan) -> None:
         message = initial_server_list(plan)
@@ -72,7 +72,7 @@
         self.entries: dict[str, dict[str, Any]] = {e["name"]: e for e in message["endpoints"]}
         self.changes: dict[int, ListChange] = {}
         self.published_at: dict[int, float] = {}  # Unix time, by version
-        self.encoded_answers: dict[int | None, tuple[bytes, int]] = {}
+        self.encoded_responses: dict[int | None, tuple[bytes, int]] = {}
 
     def publish(self, change: ListChange) -> None:
         """Add the next version."""
@@ -85,18 +85,18 @@
                 self.entries.pop(entry["name"], None)
             else:
                 self.entries[entry["name"]] = entry
-        self.encoded_answers.clear()
+        self.encoded_responses.clear()
 
     def has_changes(self, after: int) -> bool:
         """Return whether the current version differs from the one that a watch has."""
         return after != self.index
 
     def body(self, after: int | None) -> tuple[bytes, int]:
-        """Return the answer to a call and how many entries it holds.
+        """Return the response to a call and how many entries it holds.
 
-        The answer holds the changes after version `after`, or the whole list if that is None or unknown.
+        The response holds the changes after version `after`, or the whole list if that is None or unknown.
         """
-        cached = self.encoded_answers.get(after)
+        cached = self.encoded_responses.get(after)
         if cached is not None:
             return cached
         snapshot = after is None or not self.oldest <= after <= self.index
@@ -105,8 +105,8 @@
             versions = range(after + 1, self.index + 1)
             selected = {e["name"]: e for v in versions for e in self.changes[v].entries}
         message = {"index": self.index, "snapshot": snapshot, "endpoints": list(selected.values())}
-        self.encoded_answers[after] = orjson.dumps(message), len(selected)
-        return self.encoded_answers[after]
+        self.encoded_responses[after] = orjson.dumps(message), len(selected)
+        return self.encoded_responses[after]
 
 
 class RouterConnection(asyncio.Protocol):
@@ -220,7 +220,7 @@
         self.busy_until = 0.0  # when the call in service is done, event loop time
         self.queue_timer: asyncio.TimerHandle | None = None
         count = plan.router_count()
-        self.watch_answered_at = [float("-inf")] * count  # by router, event loop time
+        self.last_response_at = [float("-inf")] * count  # by router, event loop time
         self.sent_version = [self.versions.index] * count  # by router, the latest one written to it
         self.has_called = bytearray(count)  # by router, 1 once it has called
         self.bytes_in = [0] * count
@@ -255,7 +255,7 @@
             reset_connection(connection.transport)
         self.watches.clear()
         self.queue.clear()
-        self.watch_answered_at = [float("-inf")] * len(self.watch_answered_at)
+        self.last_response_at = [float("-inf")] * len(self.last_response_at)
 
     def reopen(self) -> None:
         """Listen again after an outage."""
@@ -268,7 +268,7 @@
         now = self.loop.time()
         connection.arrived_at = now
         if connection.after is not None:
-            since = now - self.watch_answered_at[connection.router]
+            since = now - self.last_response_at[connection.router]
             if since > WATCH_CONTINUE_S and since < LAPSED_WATCH_S:
                 since -= connection.seconds_since_receipt()
             if since <= WATCH_CONTINUE_S:
@@ -315,7 +315,7 @@
         """Answer a call with 503, which ends the router's watch."""
         if not connection.is_closed:
             self.meter.counts["calls.failed"] += 1
-            self.watch_answered_at[connection.router] = float("-inf")
+            self.last_response_at[connection.router] = float("-inf")
             connection.send(b"503 Service Unavailable", b"")
 
     def answer(self, connection: RouterConnection) -> None:
@@ -333,7 +333,7 @@
         self.watches.pop(connection, None)
         router, index = connection.router, self.versions.index
         if connection.after is not None:
-            self.watch_answered_at[router] = self.loop.time()
+            self.last_response_at[router] = self.loop.time()
         if not connection.transport.is_closing():
             connection.send(b"200 OK", self.versions.body(connection.after)[0])
             self._record_sent(router, index)
--- a/fleetlab/standins/origin.py
+++ b/fleetlab/standins/origin.py
@@ -75,21 +75,21 @@
         headers = dict(self.request.headers)
         request_id, info = headers.get(b"request-id", b""), headers.get(b"request-info", b"")
         if self.request.target in PROBE_TARGETS:
-            self.answer(200, b"ok")
+            self.respond(200, b"ok")
         elif self.request.method not in (b"GET", b"PUT") or self.body_bytes > MAX_BODY_BYTES:
-            self.answer(400, b"")
+            self.respond(400, b"")
         elif (
             not REQUEST_ID.fullmatch(request_id)
             or not REQUEST_INFO.fullmatch(info)
             or len(self.request.target) < 2
         ):
             self.origin.meter.counts["malformed"] += 1
-            self.answer(400, b"")
+            self.respond(400, b"")
         else:
             key = unquote_to_bytes(self.request.target[1:])
             self.origin.handle_request(self, self.request.method == b"PUT", key, request_id)
 
-    def answer(self, status: int, body: bytes, not_started: bool = False) -> None:
+    def respond(self, status: int, body: bytes, not_started: bool = False) -> None:
         """Answer the request in progress, then go on with the next one or close the connection."""
         if self.transport.is_closing():
             return
@@ -137,13 +137,13 @@
             counts["cut"] += 1
         elif not self.bucket.try_take(now, self.capacity):
             counts["busy"] += 1
-            connection.answer(503, b"", not_started=True)
+            connection.respond(503, b"", not_started=True)
         else:
             counts["writes" if write else "reads"] += 1
             median = LATENCY_FACTOR * self.plan.experiment.requests.latency_ms / 1e3
             delay = self.rng.lognormvariate(math.log(median), LATENCY_SIGMA)
             body = request_id + b" written" if write else make_value(request_id, key)
-            self.loop.call_later(delay, connection.answer, 200, body)
+            self.loop.call_later(delay, connection.respond, 200, body)
 
     def scheduled_actions(self, start: float) -> list[TimedAction]:
         """Note the schedule's start; no fault changes the origin."""
--- a/fleetlab/standins/schedule.py
+++ b/fleetlab/standins/schedule.py
@@ -56,7 +56,7 @@
         return self.uptime_at(at) is not None
 
     def is_hanging(self, at: float) -> bool:
-        """Return whether at a time the server accepts connections and bytes but answers nothing."""
+        """Return whether at a time the server accepts connections and bytes but does not respond."""
         return any(start <= at < end for start, end in self.hangs)
 
     def start_time(self, at: float) -> float | None:
--- a/fleetlab/worker.py
+++ b/fleetlab/worker.py
@@ -22,7 +22,7 @@
 from fleetlab.results import Role
 
 STOP_TIMEOUT_S = 5.0  # for a part to finish once it is told to
-# metrics, by role, of requests that no router should make and answers that none should give; noted unless 0
+# by role: metrics of protocol violations by routers in requests or responses, which are noted unless 0
 VIOLATIONS = {"clients": ("foreign", "unasked"), "caches": ("syntax", "writes"), "origin": ("malformed",)}
 
 
--- a/tests/test_lab_hollow.py
+++ b/tests/test_lab_hollow.py
@@ -182,13 +182,13 @@
 
     async def start(self) -> list[asyncio.Server]:
         def serve(number: int) -> Callable[[asyncio.StreamReader, asyncio.StreamWriter], object]:
-            return lambda reader, writer: self.answer(number, reader, writer)
+            return lambda reader, writer: self.respond(number, reader, writer)
 
         discovery_addresses = [parse_address(self.plan.addresses.discovery(n)) for n in self.plan.hollow]
         pairs = zip(self.plan.hollow, discovery_addresses, strict=True)
         return [await asyncio.start_server(serve(n), *address) for n, address in pairs]  # type: ignore[arg-type]
 
-    async def answer(self, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def respond(self, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         target = (await reader.readuntil(b"\r\n\r\n")).decode().split()[1]
         self.calls.append((number, target))
         if "after=1&" in target:
--- a/tests/test_lab_standins.py
+++ b/tests/test_lab_standins.py
@@ -104,12 +104,12 @@
 
 
 async def exchange(address: str, data: bytes, until: bytes = b"") -> bytes:
-    """Send bytes and return the answer, up to `until` or the connection's end."""
+    """Send bytes and return the response, up to `until` or the connection's end."""
     reader, writer = await asyncio.open_connection(*host_port(address))
     writer.write(data)
-    answer = await (reader.readuntil(until) if until else reader.read())
+    response = await (reader.readuntil(until) if until else reader.read())
     writer.close()
-    return answer
+    return response
 
 
 async def call_discovery(plan: Plan, router: int, query: str = "") -> tuple[int, Any]:
@@ -238,7 +238,7 @@
                 )
                 assert reweighted.entry.weight != 1.0
                 watch.client.close()
-            # an unknown version gets the whole list, the current one an empty answer
+            # an unknown version gets the whole list, the current one an empty response
             assert (await call_discovery(standin.plan, 0, "?after=99&wait_ms=0"))[1]["snapshot"] is True
             empty = {"index": 3, "snapshot": False, "endpoints": []}
             assert (await call_discovery(standin.plan, 0, "?after=3&wait_ms=20"))[1] == empty
@@ -262,9 +262,9 @@
             during_queue = [
                 (await call_discovery(standin.plan, 0, "?after=1&wait_ms=0"))[0] for _ in range(3)
             ]
-            answers = await asyncio.gather(*calls)
+            call_results = await asyncio.gather(*calls)
             assert during_queue == [200] * 3
-            assert sorted(status for status, _ in answers) == [200, 503, 503, 503]
+            assert sorted(status for status, _ in call_results) == [200, 503, 503, 503]
             standin.begin()
             await asyncio.sleep(0.05)
         metrics = standin.roles["discovery"].metrics
@@ -299,7 +299,7 @@
 async def attempt(
     make: Callable[[Pool, str], Connection], address: str, value: bytes | None = None, wait: float = 1.0
 ) -> tuple[Status, bytes] | None:
-    """Make one attempt with the router's own client; None if there is no answer in time."""
+    """Make one attempt with the router's own client; None if there is no response in time."""
     pool = Pool(make, 10, 1.0, 10.0)
     parts = [b"C.GET", b"a/b", REQUEST_ID, b"c=read,d=900"]
     command = read_command(parts if value is None else [b"C.SET", *parts[1:3], b"c=book,d=900,k=1", value])
@@ -343,9 +343,9 @@
             assert (await exchange(address, b"*1\r\n$5\r\nC.GET\r\n", b"\n")).startswith(b"-SYNTAX")
             assert (await exchange(address, b"GET / HTTP/1.1\r\n\r\n")).startswith(b"-SYNTAX")
             one = b"*4\r\n$5\r\nC.GET\r\n$1\r\nk\r\n$16\r\n%b\r\n$8\r\nc=x,d=90\r\n" % REQUEST_ID
-            # requests beyond the capacity are refused, and answers come in the order of the commands
-            answers = await exchange(address, one * 6, b"-BUSY\r\n-BUSY\r\n")
-            assert answers.count(b"$3\r\nhit\r\n$-1\r\n") == 4
+            # requests beyond the capacity are refused, and replies come in the order of the commands
+            replies = await exchange(address, one * 6, b"-BUSY\r\n-BUSY\r\n")
+            assert replies.count(b"$3\r\nhit\r\n$-1\r\n") == 4
 
     run_test(test)
 
@@ -367,7 +367,7 @@
             address_of = standin.plan.addresses.server
             assert await attempt(CacheConnection, address_of(lost), wait=0.05) == (Status.CONNECT_FAILED, b"")
             assert await attempt(CacheConnection, address_of(hung), wait=0.1) is None
-            reply = await attempt(CacheConnection, address_of(hung))  # no answer before the hang ends
+            reply = await attempt(CacheConnection, address_of(hung))  # no response before the hang ends
             assert reply is not None and reply[0] is Status.OK
             assert await attempt(CacheConnection, address_of(lost)) == (Status.MISS, b"")
         metrics = standin.roles["caches"].metrics
@@ -426,8 +426,8 @@
                     plan_addresses.peer_listen(n),
                     seen,
                     plan_addresses.peers_all(),
-                    lambda data, n=n: heard.put_nowait((n, data)),
-                )  # type: ignore[misc]
+                    lambda data, n=n: heard.put_nowait((n, data)),  # type: ignore[misc]
+                )
                 for n in range(4)
             ]
             for peer in peers:
@@ -478,7 +478,7 @@
     run_test(test)
 
 
-def test_clients_wait_for_pong_retry_after_busy_and_detect_foreign_answers() -> None:
+def test_clients_wait_for_pong_retry_after_busy_and_detect_foreign_responses() -> None:
     async def test() -> None:
         plan = plan_of(
             "clients",
