--- a/brackenwalk/interface.py
+++ b/brackenwalk/interface.py
@@ -99,7 +99,7 @@
     subscribe: bool = False  # list changes are delivered only after a `Subscribe`
     second_copies: bool = False  # a request may have two attempts open at a time
     may_cancel: bool = False  # attempts may be cancelled
-    may_gossip: bool = False  # routers may send each other peer messages
+    peer_messages: bool = False  # routers may send each other peer messages
     max_attempts: int = 1  # of a request, the first one included
     siblings: int = 1  # number of routers, this one included
     sibling_index: int = 0  # of this router among its siblings, from 0
--- a/brackenwalk/gossip.py
+++ b/brackenwalk/peer_updates.py
@@ -21,7 +21,7 @@
 MAX_AGE_FACTOR = 2.0  # of the shortest aim, after which a message is out of date
 
 
-class Gossip:
+class PeerUpdates:
     """The messages of one router to its peers, and their schedule; times are in seconds."""
 
     def __init__(self, settings: api.Settings, rng: random.Random, now: float) -> None:
@@ -57,9 +57,9 @@
         send_probability = min(
             self.sent_share, MAX_BYTES_PER_S * self.interval / (self.settings.siblings * size)
         )
-        with_keys = self.settings.may_gossip and self.random.random() < send_probability
+        with_keys = self.settings.peer_messages and self.random.random() < send_probability
         # servers beyond MAX_SERVERS are reported in the next message
-        reported = list(self.unhealthy)[: MAX_SERVERS if self.settings.may_gossip else 0]
+        reported = list(self.unhealthy)[: MAX_SERVERS if self.settings.peer_messages else 0]
         for server in reported:
             del self.unhealthy[server]
         return self.demand.next_message([s.name_hash for s in reported], with_keys, now)
--- a/brackenwalk/policy.py
+++ b/brackenwalk/policy.py
@@ -14,7 +14,7 @@
 from brackenwalk import interface as api
 from brackenwalk.demand import HOT_KEY_SHARE
 from brackenwalk.discovery_calls import DiscoveryCalls
-from brackenwalk.gossip import Gossip
+from brackenwalk.peer_updates import PeerUpdates
 from brackenwalk.ring import Ring, ring_hash
 from brackenwalk.shares import CACHE_TARGET_SHARE, EPSILON, TrafficShares
 from brackenwalk.state import Attempt, PendingRequest, Server
@@ -57,8 +57,8 @@
         self.servers_by_hash: dict[int, Server] = {}  # by the hash that stands for the name in peer messages
         self.ring: Ring[Server] = Ring()
         self.discovery_calls = DiscoveryCalls(settings, self.random, now)
-        self.gossip = Gossip(settings, self.random, now)
-        self.demand = self.gossip.demand
+        self.peer_updates = PeerUpdates(settings, self.random, now)
+        self.demand = self.peer_updates.demand
         self.shares = TrafficShares(settings, self.demand, now)
         self.largest_weights: dict[str, float] = {}  # the largest listed weight seen of each kind of server
         self.pending_requests: dict[str, PendingRequest] = {}
@@ -84,10 +84,10 @@
         elif isinstance(event, api.ServerList):
             self._on_list(event)
         elif isinstance(event, api.PeerMessage):
-            for name_hash in self.gossip.receive(event.content, now):
+            for name_hash in self.peer_updates.receive(event.content, now):
                 if name_hash in self.servers_by_hash:
                     self.shares.cut_health(self.servers_by_hash[name_hash])
-                    self.gossip.remove_unhealthy(self.servers_by_hash[name_hash])
+                    self.peer_updates.remove_unhealthy(self.servers_by_hash[name_hash])
         elif isinstance(event, api.ClientGone) and event.request_id in self.pending_requests:
             self._remove(self.pending_requests[event.request_id])
         elif isinstance(event, api.ResponseStarted) and event.request_id in self.pending_requests:
@@ -149,7 +149,7 @@
             server = self.servers.pop(name)
             self.ring.set_virtual_nodes(server, name, 0)
             self.servers_by_hash.pop(server.name_hash, None)
-            self.gossip.remove_unhealthy(server)
+            self.peer_updates.remove_unhealthy(server)
 
     def _build_ring(self) -> None:
         """Place servers by their own weight alone, so that others joining or leaving move no nodes."""
@@ -275,7 +275,7 @@
 
     def _mark_unhealthy(self, server: Server) -> None:
         if self.shares.cut_health(server):
-            self.gossip.add_unhealthy(server)
+            self.peer_updates.add_unhealthy(server)
 
     def _is_silent(self, server: Server) -> bool:
         """Whether a server has requests in flight and has answered none of them for too long."""
@@ -297,9 +297,9 @@
         self.accepted += 1
         if not pending.to_origin:
             self.demand.add(pending.ring_position >> 32)
-        if self.caches and self.gossip.due(self.now):
+        if self.caches and self.peer_updates.due(self.now):
             self.shares.plan(self._clockwise, self.ring.owner_at)
-            if message := self.gossip.next_message(self.now):
+            if message := self.peer_updates.next_message(self.now):
                 self.actions.append(api.Broadcast(message))
         self.retry_budget = min(MAX_RETRY_BUDGET, self.retry_budget + RETRY_SHARE)
         self._advance(pending)
--- a/brackenwalk/settings.py
+++ b/brackenwalk/settings.py
@@ -111,7 +111,7 @@
         live_weights=table.get("weights") == "live",
         second_copies=bool(limits.get("secondCopies", False)),
         may_cancel=bool(limits.get("mayCancel", False)),
-        may_gossip=bool(limits.get("peers", False)),
+        peer_messages=bool(limits.get("peers", False)),
         max_attempts=max(1, int(read_number(limits, "mostTries", 1, "limits."))),
         siblings=max(1, int(read_number(table, "siblings", 1, ""))),
         sibling_index=int(read_number(table, "me", 0, "")),
--- a/fleetlab/capacity.py
+++ b/fleetlab/capacity.py
@@ -18,9 +18,9 @@
 
 from brackenwalk.__main__ import RESERVED_DESCRIPTORS
 from brackenwalk.demand import DIGEST_BYTES, HEADER, HISTORY_REQUESTS, KEY_ENTRY, MAX_KEYS, SERVER_ID
-from brackenwalk.gossip import INTERVAL_FACTOR, MAX_BYTES_PER_S, MAX_SENDERS, UDP_OVERHEAD_BYTES
 from brackenwalk.net.discovery import EMPTY_RESPONSE_PAUSE_S, RESPONSE_MARGIN_S, WATCH_WAIT_S
 from brackenwalk.net.peers import PEER_BUFFER_BYTES
+from brackenwalk.peer_updates import INTERVAL_FACTOR, MAX_BYTES_PER_S, MAX_SENDERS, UDP_OVERHEAD_BYTES
 from brackenwalk.policy import MAX_FAILURES, SILENT_AIMS, VNODES
 from fleetlab.experiment import Experiment, Fleet
 from fleetlab.plan import Addresses, Plan, initial_server_list, server_entry
@@ -342,7 +342,7 @@
 def key_bytes_bound(size: Size, aim: float) -> float:
     """Return the most bytes per second about keys that a router receives, with IP and UDP headers.
 
-    The bound follows from the limits that `Gossip` keeps.
+    The bound follows from the limits that `PeerUpdates` keeps.
     """
     message = UDP_OVERHEAD_BYTES + message_bytes(size, aim)
     part = min(
@@ -513,8 +513,8 @@
             for kind, label, how in (
                 ("list", "a whole list", "`known` at the start; " + deltas),
                 ("change", "a change of the list", deltas),
-                ("peer", "a datagram heard", "`Gossip.receive`"),
-                ("tell", "a message to peers", "`Gossip.next_message`, `Demand.split_hot_keys`"),
+                ("peer", "a datagram heard", "`PeerUpdates.receive`"),
+                ("tell", "a message to peers", "`PeerUpdates.next_message`, `Demand.split_hot_keys`"),
                 ("request", "a request (no control)", "`Router._choose`"),
             )
         ),
--- a/fleetlab/module_costs.py
+++ b/fleetlab/module_costs.py
@@ -40,7 +40,7 @@
     """Return the time from which a router's next request redistributes demand and sends to peers."""
     # earlier versions of the module name these attributes `telling` and `tell_at`; in the earliest ones
     # `tell_at` is an attribute of the router itself
-    holder: Any = getattr(router, "gossip", None) or getattr(router, "telling", router)
+    holder: Any = getattr(router, "peer_updates", None) or getattr(router, "telling", router)
     return float(holder.next_at if hasattr(holder, "next_at") else holder.tell_at)
 
 
--- a/tests/test_demand.py
+++ b/tests/test_demand.py
@@ -72,7 +72,7 @@
     ],
 )
 def test_an_invalid_message_changes_nothing(message: bytes) -> None:
-    driver = Driver(settings(may_gossip=True))
+    driver = Driver(settings(peer_messages=True))
     driver.list(*SERVERS)
     assert driver.feed(api.PeerMessage(message)) == []
     assert not driver.router.demand.history.counts and not driver.router.demand.history.total
@@ -110,7 +110,7 @@
 
 def test_a_key_that_is_hot_at_all_routers_together_is_split_by_each() -> None:
     """Each of forty routers had seen the key only a few times, so all sent it to one small server."""
-    routers = [Driver(settings(may_gossip=True, siblings=40), seed=i) for i in range(40)]
+    routers = [Driver(settings(peer_messages=True, siblings=40), seed=i) for i in range(40)]
     for driver in routers:
         driver.list(*SERVERS)
     messages = []
@@ -133,13 +133,13 @@
 
 def test_counts_and_servers_that_find_no_room_in_a_message_are_sent_in_the_next() -> None:
     """Of a lost zone of sixty servers peers were sent twenty-four, and of a hundred hot keys thirty."""
-    driver = Driver(settings(may_gossip=True))
+    driver = Driver(settings(peer_messages=True))
     driver.list(*(entry(f"s{i}") for i in range(60)))
     for n in range(300):
         driver.request(f"k{n}", key=f"k{n % 100}", finish=True)
     for each in driver.router.servers.values():
         driver.router._mark_unhealthy(each)
-    receiver = Driver(settings(may_gossip=True), seed=2)
+    receiver = Driver(settings(peer_messages=True), seed=2)
     receiver.list(*(entry(f"s{i}") for i in range(60)))
     for n in range(5):
         driver.now += 1.0
@@ -149,12 +149,12 @@
     assert all(s.health < 1 for s in receiver.router.servers.values())
     received = receiver.router.demand.history.counts
     assert sum(received[ring_position(f"k{n}") >> 32] == 3 for n in range(100)) > 90
-    assert not driver.router.gossip.unhealthy and not driver.router.demand.deferred
+    assert not driver.router.peer_updates.unhealthy and not driver.router.demand.deferred
 
 
 def test_no_name_is_hashed_for_a_message(monkeypatch: pytest.MonkeyPatch) -> None:
     """Each peer message that named a server cost a hash of every server in the list."""
-    driver = Driver(settings(may_gossip=True))
+    driver = Driver(settings(peer_messages=True))
     driver.list(*SERVERS)
     name = server_named(driver, "s3").name_hash
     monkeypatch.setattr(policy, "ring_hash", None)
@@ -163,10 +163,10 @@
 
 
 def test_nothing_is_sent_where_peers_are_disabled() -> None:
-    driver = Driver(settings(may_gossip=False))
+    driver = Driver(settings(peer_messages=False))
     driver.list(*SERVERS)
     assert not [t for n in range(200) for t in ask(driver, f"r{n}", "k")[1]]
-    driver = Driver(settings(may_gossip=True))
+    driver = Driver(settings(peer_messages=True))
     driver.list(*SERVERS)
     assert [t for n in range(200) for t in ask(driver, f"r{n}", "k")[1]]
 
@@ -174,17 +174,17 @@
 def test_routers_that_start_together_do_not_send_in_step() -> None:
     times = []
     for seed in range(8):
-        driver = Driver(settings(may_gossip=True), seed=seed)
+        driver = Driver(settings(peer_messages=True), seed=seed)
         driver.list(*SERVERS)
         ask(driver, "first", "k")
-        times.append(round(driver.router.gossip.next_at - driver.now, 4))
+        times.append(round(driver.router.peer_updates.next_at - driver.now, 4))
     assert len(set(times)) > 4
 
 
 @pytest.mark.parametrize("how", ["silent", "failing"])
 def test_all_routers_send_less_to_a_server_that_one_finds_dead(how: str) -> None:
     """Each of forty routers lost a request a second to it, while the others had long known."""
-    sender, receiver = (Driver(settings(may_gossip=True, siblings=40), seed=s) for s in (1, 2))
+    sender, receiver = (Driver(settings(peer_messages=True, siblings=40), seed=s) for s in (1, 2))
     for driver in (sender, receiver):
         driver.list(*SERVERS)
     before = [receiver.request(f"b{n}", key=f"k{n}", finish=True) for n in range(400)]
@@ -207,7 +207,7 @@
 
 def test_no_key_moves_where_all_servers_are_equally_unhealthy() -> None:
     """In an overload, cutting the full servers overloaded the next ones, until all had been cut."""
-    driver = Driver(settings(may_gossip=True))
+    driver = Driver(settings(peer_messages=True))
     driver.list(*SERVERS)
     before = [ask(driver, f"b{n}", f"k{n}")[0] for n in range(200)]
     for server in driver.router.servers.values():
@@ -222,7 +222,7 @@
     siblings: int, least: float, most: float
 ) -> None:
     """Counts of all requests sent to all two hundred routers cost five percentage points of service."""
-    driver = Driver(settings(may_gossip=True, siblings=siblings))
+    driver = Driver(settings(peer_messages=True, siblings=siblings))
     driver.list(*SERVERS)
     messages = 0
     for n in range(400):
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -14,7 +14,7 @@
 from tests.fleet import FleetModel, zipf_weights
 
 LOAD = 0.5  # share of the warm servers' capacity that clients' requests take
-SETTINGS = settings(may_gossip=True, cold_share=0.13, ramp=23.0, overload_factor=3.0, overload_window=1.5)
+SETTINGS = settings(peer_messages=True, cold_share=0.13, ramp=23.0, overload_factor=3.0, overload_window=1.5)
 
 
 def worst_load(fleet: FleetModel, cold: list[api.ServerEntry], fair: float) -> float:
--- a/tests/test_house.py
+++ b/tests/test_house.py
@@ -8,7 +8,7 @@
 
 ROOT = Path(__file__).parent.parent
 MODULE = (ROOT / "brackenwalk" / "policy.py").read_text()
-PARTS = ("ring", "state", "demand", "shares", "gossip", "discovery_calls")
+PARTS = ("ring", "state", "demand", "shares", "peer_updates", "discovery_calls")
 TEXTS = [MODULE, *((ROOT / "brackenwalk" / f"{n}.py").read_text() for n in PARTS)]
 OTHERS_WORDS = (
     "lessons mechelen hobart timetable booking slot- grid prize hint-spend quote amend shannonside "
@@ -56,7 +56,7 @@
         "brackenwalk.ring",
         "brackenwalk.shares",
         "brackenwalk.state",
-        "brackenwalk.gossip",
+        "brackenwalk.peer_updates",
     }
     assert set(imported) <= allowed
     assert "brackenwalk/interface.py" in MODULE.split('"""')[1]
--- a/tests/test_lab_hollow.py
+++ b/tests/test_lab_hollow.py
@@ -24,7 +24,7 @@
 from tests.driver import entry, settings
 from tests.loopback import http, run
 
-SETTINGS = settings(may_gossip=True)
+SETTINGS = settings(peer_messages=True)
 SERVERS = [entry(f"s{i}", zone="ab"[i % 2]) for i in range(6)]
 
 
--- a/tests/test_net_peers.py
+++ b/tests/test_net_peers.py
@@ -69,6 +69,6 @@
             router.host.broadcast = sent.append
             router.host._execute(api.Broadcast(b"content"))
             assert sent == [b"content"]
-            assert not SETTINGS.may_gossip  # so the router itself broadcasts nothing here
+            assert not SETTINGS.peer_messages  # so the router itself broadcasts nothing here
 
     run(scenario)
--- a/tests/test_gossip.py
+++ b/tests/test_peer_updates.py
@@ -11,7 +11,7 @@
 
 from brackenwalk import interface as api
 from brackenwalk.demand import DIGEST_BYTES, HEADER, KEY_ENTRY, MAX_KEYS, SERVER_ID, Demand, timestamp_of
-from brackenwalk.gossip import MAX_AGE_FACTOR, MAX_BYTES_PER_S, UDP_OVERHEAD_BYTES, Gossip
+from brackenwalk.peer_updates import MAX_AGE_FACTOR, MAX_BYTES_PER_S, UDP_OVERHEAD_BYTES, PeerUpdates
 from fleetlab import model
 from fleetlab.model import FleetModel, shared_rings, zipf_weights
 from tests.driver import Driver, entry, settings
@@ -34,7 +34,7 @@
     """Each router that met one of a zone's dead servers reported it to all others, again and again."""
     monkeypatch.setattr(model, "MESSAGE_DELAY_S", 0.027)  # the longest delay of any site
     with shared_rings():
-        fleet = FleetModel(settings(may_gossip=True, aside=False), routers, SERVERS, run_timers=True)
+        fleet = FleetModel(settings(peer_messages=True, aside=False), routers, SERVERS, run_timers=True)
         keys = zipf_weights(240)
         fleet.run(0.5, 12.0 * routers, keys)
         fleet.messages.clear()
@@ -49,14 +49,14 @@
 
 def rate_of(siblings: int, keys: int) -> tuple[float, float]:
     """Return bytes and messages a second that a router receives from its siblings, with `keys` in each."""
-    router_settings = settings(may_gossip=True, siblings=siblings)
-    gossip, now, size, count = Gossip(router_settings, random.Random(3), 0.0), 0.0, 0, 0
+    router_settings = settings(peer_messages=True, siblings=siblings)
+    updates, now, size, count = PeerUpdates(router_settings, random.Random(3), 0.0), 0.0, 0, 0
     while now < 400.0:
         now += 0.01
-        if gossip.due(now):
+        if updates.due(now):
             for key in range(keys):
-                gossip.demand.add(key)
-            message = gossip.next_message(now)
+                updates.demand.add(key)
+            message = updates.next_message(now)
             size += len(message) + UDP_OVERHEAD_BYTES if message else 0
             count += bool(message)
     return size / now * siblings, count / now * siblings
@@ -75,47 +75,47 @@
 
 
 def test_a_server_that_a_peer_has_reported_is_not_reported_again() -> None:
-    first, second = (Driver(settings(may_gossip=True, siblings=40), seed=s) for s in (1, 2))
+    first, second = (Driver(settings(peer_messages=True, siblings=40), seed=s) for s in (1, 2))
     for driver in (first, second):
         driver.list(*SERVERS)
         driver.router._mark_unhealthy(driver.router.servers["s1"])
-    content = first.router.gossip.next_message(first.now)
+    content = first.router.peer_updates.next_message(first.now)
     assert servers_in(content) == [first.router.servers["s1"].name_hash]
     second.feed(api.PeerMessage(content))
-    assert servers_in(second.router.gossip.next_message(second.now) or EMPTY) == []
-    assert servers_in(first.router.gossip.next_message(first.now) or EMPTY) == []  # reported once
+    assert servers_in(second.router.peer_updates.next_message(second.now) or EMPTY) == []
+    assert servers_in(first.router.peer_updates.next_message(first.now) or EMPTY) == []  # reported once
 
 
 def test_a_server_is_reported_again_while_it_fails() -> None:
-    driver = Driver(settings(may_gossip=True, siblings=40))
+    driver = Driver(settings(peer_messages=True, siblings=40))
     driver.list(*SERVERS)
     reports: Counter[int] = Counter()
     for _ in range(40):
         driver.now += 0.1
         driver.feed(api.TimerFired("the time"))
         driver.router._mark_unhealthy(driver.router.servers["s1"])
-        reports.update(servers_in(driver.router.gossip.next_message(driver.now) or EMPTY))
+        reports.update(servers_in(driver.router.peer_updates.next_message(driver.now) or EMPTY))
     # once for each cut that takes effect: four a second
     assert 8 <= reports[driver.router.servers["s1"].name_hash] <= 16
 
 
 def test_unhealthy_servers_are_reported_without_key_counts_in_a_large_fleet() -> None:
     """Each of 2,300 routers that found a server unhealthy sent thirty keys along with it."""
-    driver = Driver(settings(may_gossip=True, siblings=2300))
+    driver = Driver(settings(peer_messages=True, siblings=2300))
     driver.list(*SERVERS)
     sizes = []
     for n in range(200):
         for key in range(60):
-            driver.router.gossip.demand.add(key)
+            driver.router.peer_updates.demand.add(key)
         driver.now += 0.3
         driver.feed(api.TimerFired("the time"))
         driver.router._mark_unhealthy(driver.router.servers[f"s{n % 12}"])
-        sizes.append(len(driver.router.gossip.next_message(driver.now)))
+        sizes.append(len(driver.router.peer_updates.next_message(driver.now)))
     assert sorted(sizes)[180] == DIGEST_BYTES + HEADER.size + SERVER_ID.size
 
 
 def test_a_stale_message_changes_nothing_and_is_counted() -> None:
-    driver = Driver(settings(may_gossip=True, siblings=40))
+    driver = Driver(settings(peer_messages=True, siblings=40))
     driver.list(*SERVERS)
     name = driver.router.servers["s1"].name_hash
     sender = Demand()
@@ -140,7 +140,7 @@
 
 
 def test_unhealthy_servers_are_not_reported_where_peers_are_disabled() -> None:
-    driver = Driver(settings(may_gossip=False, siblings=40))
+    driver = Driver(settings(peer_messages=False, siblings=40))
     driver.list(*SERVERS)
     for _ in range(20):
         driver.now += 0.5
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -497,7 +497,7 @@
 def test_a_silent_server_gets_one_trial_at_a_time_until_it_answers() -> None:
     driver = Driver(settings())
     driver.list(*fleet("a", "b"))
-    driver.router.gossip.next_at = math.inf  # no plan, or so hot a key would be spread
+    driver.router.peer_updates.next_at = math.inf  # no plan, or so hot a key would be spread
     first, second = walk_order(driver, "k")
     assert [driver.request(f"r{n}", key="k") for n in "12"] == [first, first]
     driver.now += 1.1
@@ -714,7 +714,7 @@
     driver.list(*(entry(n, weight=2.0) for n in names))
     first = driver.request("r", key="k", finish=True)
     driver.list(*(entry(n, weight=0.5 if n == first else 1.0) for n in names))
-    driver.router.gossip.next_at = math.inf  # no plan, or so hot a key would be spread
+    driver.router.peer_updates.next_at = math.inf  # no plan, or so hot a key would be spread
     sent = [driver.request(f"r{n}", key="k", finish=True) for n in range(200)]
     assert 70 < sent.count(first) < 140  # reported load 3 against a cap of 1.56: half stay
 
@@ -971,7 +971,7 @@
     """A server that fails at once looks fast and idle, so attempts were wasted on it."""
     driver = Driver(settings(**ASIDE))
     driver.list(*fleet("a", "b"))
-    driver.router.gossip.next_at = math.inf  # no plan, or so hot a key would be spread
+    driver.router.peer_updates.next_at = math.inf  # no plan, or so hot a key would be spread
     first, second = walk_order(driver, "k")
     for n in range(policy.MAX_FAILURES):
         assert driver.request(f"r{n}", key="k") == first
@@ -990,7 +990,7 @@
 def test_a_busy_server_does_not_count_as_failing() -> None:
     driver = Driver(settings())
     driver.list(*fleet("a", "b"))
-    driver.router.gossip.next_at = math.inf  # no plan, or so hot a key would be spread
+    driver.router.peer_updates.next_at = math.inf  # no plan, or so hot a key would be spread
     first, _ = walk_order(driver, "k")
     for n in range(2 * policy.MAX_FAILURES):
         assert driver.request(f"r{n}", key="k") == first
@@ -1077,8 +1077,8 @@
 
 
 def test_requests_of_unknown_class_are_not_counted_as_demand() -> None:
-    """They are never sent: counted, they would displace keys that are, and be gossiped to all peers."""
-    driver = Driver(settings(may_gossip=True, siblings=4))
+    """They are never sent: counted, they would displace keys that are, and be sent to all peers."""
+    driver = Driver(settings(peer_messages=True, siblings=4))
     driver.list(*fleet("a", "b"))
     for i in range(1000):
         driver.now += 0.01
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -12,7 +12,7 @@
 from brackenwalk.state import Server
 from tests.driver import Driver, entry, settings
 
-SETTINGS = settings(may_gossip=True, cold_share=0.2, ramp=10.0, max_list_age=10.0)
+SETTINGS = settings(peer_messages=True, cold_share=0.2, ramp=10.0, max_list_age=10.0)
 
 
 def reference_shares(shares: TrafficShares) -> dict[str, float]:
