--- a/brackenwalk/discovery_calls.py
+++ b/brackenwalk/discovery_calls.py
@@ -65,18 +65,18 @@
         will soon have to know what has changed. While discovery has too many callers, it comes rounds later.
         """
         backoff, self.failures = 2.0 ** min(16, self.failures), self.failures + 1
-        settings, waited, silent = self.settings, now - self.called_at, now - self.listed_at
-        if not settings.subscribe:  # the list is pushed by an agent that serves this router alone
-            return min(settings.drain_grace / 2, TURN_S * backoff) * self.random.uniform(0.5, 1.0)
+        config, waited, silent = self.settings, now - self.called_at, now - self.listed_at
+        if not config.subscribe:  # the list is pushed by an agent that serves this router alone
+            return min(config.drain_grace / 2, TURN_S * backoff) * self.random.uniform(0.5, 1.0)
         # A watch that had delivered something broke, or a call failed before it was queued for long.
         if silent <= waited or waited < QUEUE_TIMEOUT_S[0]:
-            rounds = min(backoff, POLL_SHARE * min(MAX_ROUND_S, settings.max_list_age) / self.round)
+            rounds = min(backoff, POLL_SHARE * min(MAX_ROUND_S, config.max_list_age) / self.round)
             delay = self.delay_until_turn(now, self.turn / 2) + max(0, int(rounds) - 1) * self.round
-            time_left = PROPAGATION_S - silent + POLL_SHARE * settings.drain_grace
+            time_left = PROPAGATION_S - silent + POLL_SHARE * config.drain_grace
             # The watch may have been silent for some time before it broke. The router then has to know what
             # it missed before its turn comes.
             if silent <= waited and 0 < time_left < delay:
-                delay = time_left * (settings.sibling_index + self.random.random()) / settings.siblings
+                delay = time_left * (config.sibling_index + self.random.random()) / config.siblings
             return delay
         # The call was queued for too long. Discovery still serves calls that their routers have abandoned, so
         # without a backoff its queue would never empty.
--- a/brackenwalk/policy.py
+++ b/brackenwalk/policy.py
@@ -282,17 +282,17 @@
         return self.now - server.unanswered_since > SILENT_AIMS * self.shortest_aim
 
     def _on_request(self, request: api.Request) -> None:
-        request_class = self.settings.classes.get(request.request_class)
-        if request_class is None:  # never sent, so counted in the demand it would displace keys that are
+        class_settings = self.settings.classes.get(request.request_class)
+        if class_settings is None:  # never sent, so counted in the demand it would displace keys that are
             self.actions.append(api.Refuse(request.id))
             return
         deadline = min(
-            self.stop_at, self.now + min(request.time_left - self.settings.resolution, request_class.aim)
+            self.stop_at, self.now + min(request.time_left - self.settings.resolution, class_settings.aim)
         )
         position = ring_hash(request.id if request.key is None else request.key)[0]
         to_origin = self.settings.aside and request.write
         pending = self.pending_requests[request.id] = PendingRequest(
-            request, request_class, deadline, to_origin, position
+            request, class_settings, deadline, to_origin, position
         )
         self.accepted += 1
         if not pending.to_origin:
@@ -306,24 +306,24 @@
 
     def _permits(self, pending: PendingRequest, server: Server | None) -> bool:
         """Whether the request class permits another send to this server or, with None, a refusal."""
-        request_class = pending.request_class
+        class_settings = pending.request_class
         ran = [a for a in pending.attempts if a.may_have_run]
         waits = pending.open_attempts() and not self.settings.second_copies
         if server is not None and (waits or len(pending.attempts) >= self.settings.max_attempts):
             return False
-        if request_class.retry_safety is api.RetrySafety.SAFE or not ran:
+        if class_settings.retry_safety is api.RetrySafety.SAFE or not ran:
             return True
-        if request_class.retry_safety is api.RetrySafety.UNSAFE or server is None:
+        if class_settings.retry_safety is api.RetrySafety.UNSAFE or server is None:
             return (
-                request_class.retry_safety is api.RetrySafety.KEYED
-                and request_class.repeat_group is api.RepeatGroup.ALL
+                class_settings.retry_safety is api.RetrySafety.KEYED
+                and class_settings.repeat_group is api.RepeatGroup.ALL
             )
         # Dialling may delay the send past the repeat window, where the repeat would have a second effect.
         in_window = (
-            self.now + self.settings.dial_timeout < min(a.sent_at for a in ran) + request_class.repeat_window
+            self.now + self.settings.dial_timeout < min(a.sent_at for a in ran) + class_settings.repeat_window
         )
         return in_window and all(
-            request_class.repeat_group.shared_by(a.server.entry, server.entry) for a in ran
+            class_settings.repeat_group.shared_by(a.server.entry, server.entry) for a in ran
         )
 
     def _advance(self, pending: PendingRequest) -> None:
--- a/fleetlab/worker.py
+++ b/fleetlab/worker.py
@@ -21,7 +21,7 @@
 from fleetlab.plan import Message, Plan
 from fleetlab.results import Role
 
-STOP_TIMEOUT_S = 5.0  # for a part to finish once it is told to
+STOP_TIMEOUT_S = 5.0  # for a part to finish after it is asked to stop
 # by role: metrics of protocol violations by routers in requests or responses, which are noted unless 0
 VIOLATIONS = {"clients": ("foreign", "unasked"), "caches": ("syntax", "writes"), "origin": ("malformed",)}
 
