--- a/brackenwalk/shares.py
+++ b/brackenwalk/shares.py
@@ -51,7 +51,7 @@
         self.reduced |= dict.fromkeys(s for s in self.caches if self.zones.get(s.entry.zone) is zone)
 
     def cut_health(self, server: Server) -> bool:
-        """Cut an unhealthy server's share, as other routers do once it is reported: one alone can't relieve it.
+        """Cut an unhealthy server's share, as all routers do once it is reported: one alone can't relieve it.
 
         Return False, and change nothing, for an origin and right after an earlier cut.
         """
