--- a/brackenwalk/settings.py
+++ b/brackenwalk/settings.py
@@ -88,7 +88,7 @@
     Raises SettingsError, which names the field, for a value that can't be used.
     """
     if not isinstance(conf, dict):
-        raise api.SettingsError("settings: must be an object")
+        raise api.SettingsError("settings: conf must be an object")
     classes = {row["name"]: read_class(row) for row in read_rows(conf, "classes")}
     if not classes:
         raise api.SettingsError("settings: classes is empty")
--- a/fleetlab/model.py
+++ b/fleetlab/model.py
@@ -76,14 +76,14 @@
     def settle(self: ring.Ring[Any]) -> None:
         if not self.moved:
             return
-        key = frozenset((owner.name, len(points)) for owner, points in self.points.items())
+        key = frozenset((owner.name_hash, len(points)) for owner, points in self.points.items())
         if key not in memo:
             own(self)
-            memo[key] = self.positions, [owner.name for owner in self.owners], self.ranks
+            memo[key] = self.positions, [owner.name_hash for owner in self.owners], self.ranks
             while len(memo) > kept:
                 del memo[next(iter(memo))]
             return
-        owners = {owner.name: owner for owner in self.points}
+        owners = {owner.name_hash: owner for owner in self.points}
         self.positions, names, self.ranks = memo[key]
         self.owners = list(map(owners.__getitem__, names))
         self.moved.clear()
