--- a/tests/test_net_peers.py
+++ b/tests/test_net_peers.py
@@ -62,7 +62,7 @@
         async with RouterHarness() as router:
             sender = Demand()
             sender.add(5)
-            router.host.on_peer_message(sender.message([], now=router.host.clock.now()))
+            router.host.on_peer_message(sender.next_message([], now=router.host.clock.now()))
             router.host.on_peer_message(b"garbled")
             assert router.host.router.demand.history.counts == {5: 1}
             sent: list[bytes] = []
